--- a/crates/lab/src/slopes/data.rs
+++ b/crates/lab/src/slopes/data.rs
@@ -26,8 +26,8 @@
 fn settings() -> Settings {
     let class = |effect| Class {
         aim: 300_000,
-        worth: 1.0,
-        late_worth: 0.2,
+        value: 1.0,
+        late_value: 0.2,
         effect,
         window: 3_000_000,
         ordered: false,
@@ -39,15 +39,15 @@
         classes: vec![class(Effect::Safe), class(Effect::Unsafe)],
         plans: vec![Plan { rate: 40.0, reserve: 1000.0, weight: 2.0, price: 1.0, limit: None }],
         mean_units: 2.0,
-        most_units: 8.0,
-        share_worth: 0.4,
-        spare_worth: 0.1,
+        max_units: 8.0,
+        share_value: 0.4,
+        spare_value: 0.1,
         max_retry_after: 500_000,
         cold_units: 13.0,
-        cold_from: 0.15,
-        cold_time: 15_000_000,
-        fall_time: 1_500_000,
-        key_rest: 100_000,
+        cold_fraction: 0.15,
+        warmup_time: 15_000_000,
+        cold_window: 1_500_000,
+        key_cooldown: 100_000,
         budget: Some(Budget { free: 3.0, share: 0.1, span: 5_000_000 }),
         ..Settings::default()
     }
@@ -105,7 +105,7 @@
         });
         let Some(node) = sent else {
             self.refused += 1;
-            return self.event(Event::Gone(self.next));
+            return self.event(Event::ClientGone(self.next));
         };
         self.event(Event::Outcome(Outcome {
             id: self.next,
@@ -113,9 +113,9 @@
             ending: Ending::Served,
             closed: true,
             node,
-            waited: ANSWER,
-            elsewhere: 0.0,
-            used: None,
+            elapsed: ANSWER,
+            served_elsewhere: 0.0,
+            volume_use: None,
             util: None,
         }));
     }
--- a/src/bin/claywinch-drill/wire.rs
+++ b/src/bin/claywinch-drill/wire.rs
@@ -211,7 +211,7 @@
             "MEMBERS" => members(f, &instance.start, &self.lists)?,
             "INBOUND" => inbound(f, &instance.start)?,
             "RESOLVED" => resolved(f)?,
-            "TIMED_OUT_CLIENT" => Event::Gone(f.whole("id", 1 << 52)?),
+            "TIMED_OUT_CLIENT" => Event::ClientGone(f.whole("id", 1 << 52)?),
             "ALARM" => {
                 f.whole("tag", 1 << 63)?;
                 Event::Timer
@@ -302,10 +302,10 @@
         attempt: f.whole("attempt", 1 << 32)? as u32,
         ending: f.ending()?,
         closed: f.flag("closed")?,
-        elsewhere: f.real_or_0("from_others")?,
-        used: Some(f.real_or_0("metered")?).filter(|v| *v >= 1.0).map(|v| (v - 1.0) / 100.0),
+        served_elsewhere: f.real_or_0("from_others")?,
+        volume_use: Some(f.real_or_0("metered")?).filter(|v| *v >= 1.0).map(|v| (v - 1.0) / 100.0),
         node: f.whole("server", 1 << 32)? as NodeId,
-        waited: micros(f.real_or_0("wait_time_s")?),
+        elapsed: micros(f.real_or_0("wait_time_s")?),
         util: f.util()?,
     }))
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -37,9 +37,9 @@
     /// An answer within this time earns the full worth.
     pub aim: Time,
     /// Worth of a request of mean size.
-    pub worth: f64,
+    pub value: f64,
     /// Part of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_value: f64,
     /// Whether it may run again.
     pub effect: Effect,
     /// How long a group drops repeats, from the send of the first attempt that may have run.
@@ -102,47 +102,47 @@
     /// Mean units of a request.
     pub mean_units: f64,
     /// Most units of one request.
-    pub most_units: f64,
+    pub max_units: f64,
     /// Part of the worth of units beyond the reserve and inside the volume's share.
-    pub share_worth: f64,
+    pub share_value: f64,
     /// Part of the worth of units beyond reserve and share.
-    pub spare_worth: f64,
-    /// Period over which [`Outcome::used`] is totalled; 0 without a meter.
+    pub spare_value: f64,
+    /// Period over which [`Outcome::volume_use`] is totalled; 0 without a meter.
     pub meter_period: Time,
-    /// Whether answers carry [`Outcome::elsewhere`].
-    pub tells_elsewhere: bool,
+    /// Whether answers carry [`Outcome::served_elsewhere`].
+    pub reports_elsewhere: bool,
     /// The list of nodes comes only to those that ask.
     pub list_on_request: bool,
     /// Two attempts of one request may be out at once.
-    pub second_copies: bool,
+    pub concurrent_attempts: bool,
     /// Attempts may be withdrawn.
     pub cancel: bool,
     /// Probes are allowed.
     pub probes: bool,
     /// Longest retry-after that clients honour; 0 where they are given none.
     pub max_retry_after: Time,
-    /// Units that a node just started bears from all hosts together within `fall_time`.
+    /// Units that a node just started bears from all hosts together within `cold_window`.
     pub cold_units: f64,
     /// Part of its capacity that a node starts with at least.
-    pub cold_from: f64,
+    pub cold_fraction: f64,
     /// Time within which a started node is warm.
-    pub cold_time: Time,
+    pub warmup_time: Time,
     /// Time over which too much work makes a cold node fall over.
-    pub fall_time: Time,
+    pub cold_window: Time,
     /// Rest of an ordered key after an attempt that may still be running.
-    pub key_rest: Time,
+    pub key_cooldown: Time,
     /// The budget of further attempts, where one is stated.
     pub budget: Option<Budget>,
 }
 
 impl Settings {
     /// Whether a scheduler can work with them.
-    pub fn check(&self) -> Result<(), SettingsError> {
+    pub fn validate(&self) -> Result<(), SettingsError> {
         let bad_limit = |p: &Plan| p.limit.is_some_and(|l| !(l.rate > 0.0 && l.burst >= 0.0));
         let checks = [
             (self.hosts == 0, "hosts must not be 0"),
             (self.classes.is_empty() || self.plans.is_empty(), "classes and plans must not be empty"),
-            (!(self.mean_units > 0.0 && self.most_units > 0.0), "units of a request must be above 0"),
+            (!(self.mean_units > 0.0 && self.max_units > 0.0), "units of a request must be above 0"),
             (self.classes.iter().any(|c| c.attempts == 0), "one attempt must be allowed"),
             (self.plans.iter().any(bad_limit), "a limit needs a rate above 0 and a burst of 0 or more"),
         ];
@@ -258,11 +258,11 @@
     /// The node.
     pub node: NodeId,
     /// Time since the send.
-    pub waited: Time,
+    pub elapsed: Time,
     /// Units that the node served for the volume through other hosts since its last answer here.
-    pub elsewhere: f64,
+    pub served_elsewhere: f64,
     /// Units served for the volume everywhere in a past meter period, as a part of the plan's rate.
-    pub used: Option<f64>,
+    pub volume_use: Option<f64>,
     /// How busy the node said its cores were.
     pub util: Option<f64>,
 }
@@ -277,24 +277,24 @@
     /// An attempt ended.
     Outcome(Outcome),
     /// The client is gone; no answer is owed any more.
-    Gone(RequestId),
+    ClientGone(RequestId),
     /// A timer set by [`Action::Timer`] is due.
     Timer,
     /// A probe ended: the node, how, and how busy it said its cores were.
     Probed(NodeId, Ending, Option<f64>),
     /// The time and state of a request whose body is sent on while it comes: when its client gives up as
     /// far as is known now, and whether some of the body is gone, so that no further attempt can have it.
-    Body(RequestId, Time, bool),
+    BodyProgress(RequestId, Time, bool),
     /// The part of this host's part of all limits that this process may spend from now on, from 0 to 1.
     /// Less than 1 while two processes are one host.
-    Part(f64),
+    LimitShare(f64),
     /// How late this host runs, in microseconds: how long what is due has waited to be looked at.
-    Late(Time),
+    HostLateness(Time),
     /// Whether nothing may be sent to any node until further notice: what is known of the nodes may be out
     /// of date.
     Suspended(bool),
     /// This host ends: whatever it has taken is to have its answer by this time.
-    EndBy(Time),
+    AnswerAllBy(Time),
     /// New settings, from now on. A class that requests are open under stands in its place, unchanged.
     Settings(Box<Settings>),
 }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -182,7 +182,7 @@
 impl Scheduler {
     /// A scheduler that starts at `now` with nothing remembered.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
-        settings.check()?;
+        settings.validate()?;
         let guess = Pace { waits: FIRST_GUESS * 1e-9, depths: 1e-9, at: now };
         let forget_at = now + FORGOTTEN;
         let fresh =
@@ -224,11 +224,11 @@
                 Event::Nodes(kind, list) => self.list(now, kind, list, acts),
                 Event::Request(arrival) => self.take(now, arrival, acts),
                 Event::Outcome(outcome) => self.outcome(now, outcome, acts),
-                Event::Gone(id) => self.finish(now, id, acts),
-                Event::Body(id, due, spent) => {
+                Event::ClientGone(id) => self.finish(now, id, acts),
+                Event::BodyProgress(id, due, spent) => {
                     let _ = self.requests.entry(id).and_modify(|r| (r.due, r.spent) = (due, spent));
                 }
-                Event::Part(part) => {
+                Event::LimitShare(part) => {
                     self.refill(now);
                     (self.part, self.limits_since) = (part.clamp(1e-6, 1.0), now);
                 }
@@ -239,8 +239,8 @@
                     self.set = *set;
                 }
                 Event::Suspended(suspended) => self.suspended = suspended,
-                Event::EndBy(at) => self.end_by(at),
-                Event::Late(late) => self.overload.note(now, late),
+                Event::AnswerAllBy(at) => self.end_by(at),
+                Event::HostLateness(late) => self.overload.note(now, late),
                 Event::Timer | Event::Probed(..) => {} // What is due stands in the agenda.
             }
         }
@@ -333,7 +333,7 @@
                 self.enter(now, NodeEntry { state: NodeState::Gone, ..missing });
             }
         }
-        let cold = |e: &NodeEntry| e.started.is_some_and(|started| now - started < self.set.cold_time);
+        let cold = |e: &NodeEntry| e.started.is_some_and(|started| now - started < self.set.warmup_time);
         let (named, cold) = (list.len(), list.iter().filter(|e| cold(e)).count());
         acts.extend((cold > 0).then(|| Action::Log(format!("{cold} nodes of {named} in a list are cold"))));
         for entry in list {
@@ -384,7 +384,7 @@
         let longest = self.longest.entry(a.class).or_insert(left);
         *longest = left.max(*longest);
         let aim = if left <= class.aim { now + class.aim } else { a.due - *longest + class.aim };
-        let worth = class.worth * self.set.plans[a.plan].price;
+        let worth = class.value * self.set.plans[a.plan].price;
         let part = self.due_part(now, &a);
         let request = Request {
             class: a.class,
@@ -399,7 +399,7 @@
             late: aim <= now,
             ..Request::default()
         };
-        if request.shard.is_some() && part > self.set.spare_worth {
+        if request.shard.is_some() && part > self.set.spare_value {
             self.asked += request.units;
         }
         let line = request.key.clone().filter(|_| self.set.classes[a.class].ordered);
@@ -438,17 +438,17 @@
             ..Volume::default()
         });
         (volume.plan, volume.hosts) = (a.plan, volume.hosts.max(hosts));
-        let most = self.set.most_units;
-        let best = self.set.classes.iter().map(|c| c.worth).fold(1e-9, f64::max);
-        let left = (1.0 - self.set.classes[a.class].worth / best) * KEPT_FOR_DEARER;
+        let most = self.set.max_units;
+        let best = self.set.classes.iter().map(|c| c.value).fold(1e-9, f64::max);
+        let left = (1.0 - self.set.classes[a.class].value / best) * KEPT_FOR_DEARER;
         if volume.reserve.fill(now, reserve, reserve + most) >= a.units + left * reserve && reserve > 0.0 {
             volume.reserve.level -= a.units;
             1.0
         } else if volume.share.fill(now, share, share + most) >= a.units {
             volume.share.level -= a.units;
-            self.set.share_worth
+            self.set.share_value
         } else {
-            self.set.spare_worth
+            self.set.spare_value
         }
     }
 
@@ -473,7 +473,7 @@
     /// Puts a request into the queue of its shard or of the new objects.
     fn enqueue(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id).filter(|r| !r.held) else { return };
-        let late = if request.late { self.set.classes[request.class].late_worth } else { 1.0 };
+        let late = if request.late { self.set.classes[request.class].late_value } else { 1.0 };
         let by = if request.late { request.due } else { request.aim };
         let rank = (Reverse((request.value * late * 1e6).max(0.0) as u64), by, id);
         request.rank = Some(rank);
@@ -637,7 +637,7 @@
             return now >= node.next_trial && node.slots.len() < CEILING;
         }
         let aim = self.tightest_aim() as f64;
-        let poor = request.late || request.part <= set.spare_worth;
+        let poor = request.late || request.part <= set.spare_value;
         let bound = aim * PART_OF_AIM / node.per_unit(now, self.average());
         let eased = bound * if poor { 1.0 } else { SHARE_EASE };
         let below = |bound: f64| node.slots.len() < CEILING && node.units_out + units <= bound;
@@ -654,16 +654,16 @@
     fn cold_room(&self, now: Time, node: &Node, request: &Request) -> bool {
         let Some(started) = node.entry.started else { return true };
         let (set, age) = (&self.set, now - started);
-        let warm = age >= set.cold_time + set.fall_time;
-        if warm || (started <= self.started && now - self.started <= set.fall_time) {
+        let warm = age >= set.warmup_time + set.cold_window;
+        if warm || (started <= self.started && now - self.started <= set.cold_window) {
             return warm;
         }
         let part = self.borne(now, node).0 / f64::from(set.hosts);
         if part < set.mean_units {
-            let best = request.shard.is_some() && !request.late && request.part > set.spare_worth;
+            let best = request.shard.is_some() && !request.late && request.part > set.spare_value;
             return best && self.turn(now, node) > node.turns;
         }
-        let sent: f64 = node.recent.iter().filter(|(t, _)| *t >= now - set.fall_time).map(|(_, u)| u).sum();
+        let sent: f64 = node.recent.iter().filter(|(t, _)| *t >= now - set.cold_window).map(|(_, u)| u).sum();
         sent + request.units <= part - MARGIN
     }
 
@@ -671,9 +671,9 @@
     /// slowly as the settings let it warm up; and the turns of a mean request that makes since its start.
     fn borne(&self, now: Time, node: &Node) -> (f64, f64) {
         let (set, age) = (&self.set, (now - node.entry.started.unwrap_or(now)).max(0));
-        let (window, cold) = (set.fall_time.max(1) as f64, set.cold_time.max(1) as f64);
-        let grows = 1.0 / set.cold_from.clamp(0.001, 1.0) - 1.0;
-        let proven = ((age - set.fall_time).max(0) as f64 / cold).min(1.0);
+        let (window, cold) = (set.cold_window.max(1) as f64, set.warmup_time.max(1) as f64);
+        let grows = 1.0 / set.cold_fraction.clamp(0.001, 1.0) - 1.0;
+        let proven = ((age - set.cold_window).max(0) as f64 / cold).min(1.0);
         let least = self.fleet.least_size();
         let units = set.cold_units * f64::from(node.entry.size.max(least)) / f64::from(least);
         let windows = (age as f64 + grows * proven * proven * cold / 2.0) / window;
@@ -688,7 +688,7 @@
         let (calls, hosts) = (units / set.mean_units, f64::from(set.hosts));
         let place = hash("", node.entry.node).wrapping_add(u64::from(set.number)) % u64::from(set.hosts);
         let turn = 1.0 + place as f64 + ((given - 1.0 - place as f64) / hosts).floor() * hosts;
-        let windows = ((now - self.started) as f64 / set.fall_time.max(1) as f64).max(0.1);
+        let windows = ((now - self.started) as f64 / set.cold_window.max(1) as f64).max(0.1);
         let usual = (self.asked / set.mean_units / self.fleet.len().max(1) as f64 + 1.0) / windows;
         let good = (calls / usual).max(2.0 * calls.sqrt() + 1.0);
         if given - turn <= good {
@@ -800,7 +800,7 @@
             line.out += 1;
         }
         node.book(now, (id, attempt), request.units, ordered_key, average);
-        let window = self.set.fall_time;
+        let window = self.set.cold_window;
         node.recent.push_back((now, request.units));
         while node.recent.front().is_some_and(|(t, _)| *t < now - window) {
             node.recent.pop_front();
@@ -826,7 +826,7 @@
         if let Some(line) = key.as_ref().and_then(|k| self.lines.get_mut(k)) {
             line.out = line.out.saturating_sub(1);
             if matches!(o.ending, Ending::TimedOut | Ending::Reset | Ending::Cancelled) {
-                line.rest_until = now + self.set.key_rest;
+                line.rest_until = now + self.set.key_cooldown;
             }
         }
         self.judge(now, o.node, acts);
@@ -839,14 +839,14 @@
             request.not_sent += u32::from(o.ending == Ending::NoLink);
             let own = if o.ending == Ending::Served { request.units } else { 0.0 };
             let set = &self.set;
-            let told = |_: &&mut Volume| set.tells_elsewhere || o.used.is_some();
+            let told = |_: &&mut Volume| set.reports_elsewhere || o.volume_use.is_some();
             if let Some(volume) = self.volumes.get_mut(&request.volume).filter(told) {
                 volume.served.add(now, own, 1.0);
-                let mut other = o.elsewhere.max(0.0);
-                if !set.tells_elsewhere {
+                let mut other = o.served_elsewhere.max(0.0);
+                if !set.reports_elsewhere {
                     // Only what all hosts together were served is told: what goes beyond this one's own.
                     let rate = volume.served.faded(now).0 / MEMORY * SECOND as f64;
-                    let all = o.used.unwrap_or(0.0) * set.plans[volume.plan].rate;
+                    let all = o.volume_use.unwrap_or(0.0) * set.plans[volume.plan].rate;
                     other = own * (all / rate.max(1e-9) - 1.0).max(0.0);
                 }
                 volume.own = volume.own * KEEP_PART + own;
--- a/src/rules/node.rs
+++ b/src/rules/node.rs
@@ -96,7 +96,7 @@
     pub(super) strikes: u32,
     pub(super) next_trial: Time,
     pub(super) unwell: bool,
-    /// Sends of the last `fall_time`, and the first turn that is not used up, for the guard of cold nodes.
+    /// Sends of the last `cold_window`, and the first turn that is not used up, for the guard of cold nodes.
     pub(super) recent: VecDeque<(Time, f64)>,
     pub(super) turns: f64,
 }
@@ -149,8 +149,8 @@
         // An attempt that ended without an answer would have waited longer still; one that is far out of the
         // usual was lost, and tells nothing of the others.
         let wait = match o.ending {
-            Ending::Served => (o.waited as f64).min(dear),
-            Ending::TimedOut | Ending::Cancelled => o.waited as f64 * CUT,
+            Ending::Served => (o.elapsed as f64).min(dear),
+            Ending::TimedOut | Ending::Cancelled => o.elapsed as f64 * CUT,
             _ => 0.0,
         };
         if o.ending == Ending::Served || (expected..=dear).contains(&wait) {
@@ -166,7 +166,7 @@
         match o.ending {
             Ending::Served | Ending::Error => self.strikes = 0,
             Ending::Reset => self.strikes += 1,
-            Ending::Unreachable if o.waited < REFUSED => self.strikes += STRIKES,
+            Ending::Unreachable if o.elapsed < REFUSED => self.strikes += STRIKES,
             Ending::TimedOut | Ending::Unreachable => self.strikes += 2,
             Ending::Full => self.strikes += STRIKES,
             Ending::Cancelled | Ending::NotSent | Ending::NoLink => {}
--- a/src/run/catalogue.rs
+++ b/src/run/catalogue.rs
@@ -245,8 +245,8 @@
 
 /// Reads of the scrubber: of next to no worth, so that everything else goes first.
 fn scrub_class() -> Class {
-    let (aim, worth) = (SCRUB_DEADLINE, 1e-3);
-    Class { aim, worth, late_worth: 1.0, effect: Effect::Safe, window: 0, ordered: false, attempts: ATTEMPTS }
+    let (aim, value) = (SCRUB_DEADLINE, 1e-3);
+    Class { aim, value, late_value: 1.0, effect: Effect::Safe, window: 0, ordered: false, attempts: ATTEMPTS }
 }
 
 fn micros(ms: u32) -> Time {
@@ -290,8 +290,8 @@
     pub fn settings(&self) -> Settings {
         let class = |c: &ClassFile| Class {
             aim: micros(c.wanted_ms),
-            worth: c.worth,
-            late_worth: c.late_worth,
+            value: c.worth,
+            late_value: c.late_worth,
             effect: if c.repeat == Repeat::Safe { Effect::Safe } else { Effect::Unsafe },
             window: 0,
             ordered: false,
@@ -310,21 +310,21 @@
             classes: self.classes.iter().map(class).chain([scrub_class()]).collect(),
             plans: self.shared.plans.iter().map(plan).collect(),
             mean_units: 2.0,
-            most_units: f64::from(MOST_UNITS),
-            share_worth: 0.4,
-            spare_worth: 0.05,
+            max_units: f64::from(MOST_UNITS),
+            share_value: 0.4,
+            spare_value: 0.05,
             meter_period: 0,
-            tells_elsewhere: false,
+            reports_elsewhere: false,
             list_on_request: false,
-            second_copies: false,
+            concurrent_attempts: false,
             cancel: true,
             probes: false,
             max_retry_after: 2_000_000,
             cold_units: self.cold.units,
-            cold_from: self.cold.from,
-            cold_time: micros(self.cold.warm_ms),
-            fall_time: micros(self.cold.window_ms),
-            key_rest: 0,
+            cold_fraction: self.cold.from,
+            warmup_time: micros(self.cold.warm_ms),
+            cold_window: micros(self.cold.window_ms),
+            key_cooldown: 0,
             budget: None,
         }
     }
--- a/src/run/nbd.rs
+++ b/src/run/nbd.rs
@@ -116,7 +116,7 @@
     };
     let ids = Numbers::default();
     let stage =
-        Guard::new(exports.clone(), ids.clone(), deploy.integrity.pages(), deploy.settings().cold_time);
+        Guard::new(exports.clone(), ids.clone(), deploy.integrity.pages(), deploy.settings().warmup_time);
     let (ending, ended) = unbounded_channel();
     let fleet = Fleet {
         name: "nbd",
--- a/src/run/start.rs
+++ b/src/run/start.rs
@@ -99,7 +99,7 @@
     let terms = tuning.take(config.start).map_err(unusable)?;
     let settings = tuning.settings().ok_or(unusable("it has no classes".to_string()))?;
     let zones = Rc::new(RefCell::new(tuning.zones()));
-    let cold = settings.cold_time + settings.fall_time;
+    let cold = settings.warmup_time + settings.cold_window;
     let planner = Planner::<Resp>::new(settings, config.seed, clock.now(), pool)?;
     let guard = planner.guard().clone();
     let (own, inputs) = unbounded_channel();
--- a/src/run/tuning.rs
+++ b/src/run/tuning.rs
@@ -33,7 +33,7 @@
 impl Tuning {
     /// Takes settings that were read whole. Nothing has changed if they can't be used.
     pub fn take(&mut self, start: Start) -> Result<Terms, String> {
-        start.settings.check().map_err(|e| e.to_string())?;
+        start.settings.validate().map_err(|e| e.to_string())?;
         let writes = self.writes_of(&start);
         let mut plans = self.plans.clone();
         for (_, plan) in &mut plans {
@@ -72,7 +72,7 @@
         let terms = Terms {
             classes,
             plans: of_plan,
-            most_units: start.settings.most_units as u32,
+            most_units: start.settings.max_units as u32,
             shards: start.shards,
         };
         self.settings = Some(start.settings);
--- a/src/state/planner.rs
+++ b/src/state/planner.rs
@@ -87,7 +87,7 @@
     pub reply: Option<R>,
     /// The figures on use that came along; see [`Outcome`].
     pub used: Option<f64>,
-    /// See [`Outcome::elsewhere`].
+    /// See [`Outcome::served_elsewhere`].
     pub elsewhere: f64,
     /// See [`Outcome::util`].
     pub util: Option<f64>,
@@ -149,7 +149,7 @@
     Probed(NodeId, Ending, Option<f64>),
     /// New settings; see [`Event::Settings`].
     Settings(Box<Settings>, LinkTerms),
-    /// The part of all limits that is this process's; see [`Event::Part`].
+    /// The part of all limits that is this process's; see [`Event::LimitShare`].
     Part(f64),
     /// Nothing may be sent to any node, or it may again.
     Suspended(bool),
@@ -424,7 +424,7 @@
                     // What has not begun is withdrawn whether or not the settings allow to cancel: nobody will know of it.
                     let out = self.attempts.range((id, 0)..=(id, u32::MAX));
                     effects.extend(out.filter_map(|(tag, a)| Some(Effect::Withdraw(a.link?, *tag))));
-                    self.events.push(Event::Gone(id));
+                    self.events.push(Event::ClientGone(id));
                 }
             }
             Input::Ended(link, tag, end) => {
@@ -469,7 +469,7 @@
                 self.events.push(Event::Suspended(suspended));
             }
             Input::EndBy(at) => self.end_by(at),
-            Input::Late(late) => self.events.push(Event::Late(late)),
+            Input::Late(late) => self.events.push(Event::HostLateness(late)),
             Input::Nodes(kind, members) => {
                 let mut entries = Vec::with_capacity(members.len());
                 if matches!(kind, ListKind::Full | ListKind::Saved) {
@@ -505,7 +505,7 @@
                     effects.push(Effect::Close(link));
                 }
             }
-            Input::Part(part) => self.events.push(Event::Part(part)),
+            Input::Part(part) => self.events.push(Event::LimitShare(part)),
             Input::Reached(waiting) => self.reached.push(waiting),
         }
     }
@@ -524,7 +524,7 @@
             self.deadlines.insert(at, Deadline::Attempt(*tag));
             attempt.until = at;
         }
-        self.events.push(Event::EndBy(at));
+        self.events.push(Event::AnswerAllBy(at));
     }
 
     /// What repeats of a class do.
@@ -549,7 +549,7 @@
             open.last = Some(end.ending);
             if W::is_spent(&open.request) {
                 debug_assert!(W::flows(&open.request));
-                self.events.push(Event::Body(id, attempt.until, true));
+                self.events.push(Event::BodyProgress(id, attempt.until, true));
             }
         }
         // The first served attempt is the final answer.
@@ -566,9 +566,9 @@
             ending: end.ending,
             closed: !self.requests.contains_key(&id),
             node: attempt.node,
-            waited: now - attempt.sent,
-            elsewhere: end.elsewhere,
-            used: end.used,
+            elapsed: now - attempt.sent,
+            served_elsewhere: end.elsewhere,
+            volume_use: end.used,
             util: end.util,
         }));
     }
@@ -685,7 +685,7 @@
     /// node counts from the body's last byte: only then does the node begin.
     fn retime(&mut self, now: Time, id: RequestId, due: Time, whole: bool) {
         let Some(open) = self.requests.get(&id) else { return };
-        self.events.push(Event::Body(id, due, W::is_spent(&open.request)));
+        self.events.push(Event::BodyProgress(id, due, W::is_spent(&open.request)));
         for (tag, attempt) in self.attempts.range_mut((id, 0)..=(id, u32::MAX)) {
             self.deadlines.remove(attempt.until, Deadline::Attempt(*tag));
             self.deadlines.insert(due, Deadline::Attempt(*tag));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,10 +9,10 @@
 
 /// Four hosts; classes safe, keyed, unsafe, ordered; plans with a limit and with a reserve.
 pub fn settings() -> Settings {
-    let class = |worth, effect, ordered| Class {
+    let class = |value, effect, ordered| Class {
         aim: 300_000,
-        worth,
-        late_worth: 0.2,
+        value,
+        late_value: 0.2,
         effect,
         window: 3_000_000,
         ordered,
@@ -30,21 +30,21 @@
         ],
         plans: vec![plan(0.0, Some(Limit { rate: 20.0, burst: 32.0, slack: 4.0 })), plan(1000.0, None)],
         mean_units: 2.0,
-        most_units: 8.0,
-        share_worth: 0.4,
-        spare_worth: 0.1,
+        max_units: 8.0,
+        share_value: 0.4,
+        spare_value: 0.1,
         meter_period: 0,
-        tells_elsewhere: false,
+        reports_elsewhere: false,
         list_on_request: false,
-        second_copies: false,
+        concurrent_attempts: false,
         cancel: false,
         probes: false,
         max_retry_after: 500_000,
         cold_units: 24.0,
-        cold_from: 0.2,
-        cold_time: 10_000_000,
-        fall_time: 2_000_000,
-        key_rest: 100_000,
+        cold_fraction: 0.2,
+        warmup_time: 10_000_000,
+        cold_window: 2_000_000,
+        key_cooldown: 100_000,
         budget: Some(Budget { free: 3.0, share: 0.1, span: 5_000_000 }),
     }
 }
@@ -127,16 +127,16 @@
         attempt: u32,
         node: NodeId,
         ending: Ending,
-        waited: Time,
+        elapsed: Time,
     ) -> Vec<Action> {
         let closed = ending == Ending::Served;
-        self.event(outcome(id, attempt, ending, closed, node, waited))
+        self.event(outcome(id, attempt, ending, closed, node, elapsed))
     }
-    pub fn served(&mut self, id: RequestId, attempt: u32, node: NodeId, waited: Time) -> Vec<Action> {
-        self.ended(id, attempt, node, Ending::Served, waited)
+    pub fn served(&mut self, id: RequestId, attempt: u32, node: NodeId, elapsed: Time) -> Vec<Action> {
+        self.ended(id, attempt, node, Ending::Served, elapsed)
     }
     pub fn gone(&mut self, id: RequestId) -> Vec<Action> {
-        self.event(Event::Gone(id))
+        self.event(Event::ClientGone(id))
     }
     pub fn tick(&mut self, time: Time) -> Vec<Action> {
         self.wait(time);
@@ -164,8 +164,8 @@
     ending: Ending,
     closed: bool,
     node: NodeId,
-    waited: Time,
+    elapsed: Time,
 ) -> Event {
-    let (elsewhere, used, util) = (0.0, None, None);
-    Event::Outcome(Outcome { id, attempt, ending, closed, node, waited, elsewhere, used, util })
+    let (served_elsewhere, volume_use, util) = (0.0, None, None);
+    Event::Outcome(Outcome { id, attempt, ending, closed, node, elapsed, served_elsewhere, volume_use, util })
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -71,7 +71,7 @@
 #[test]
 fn a_cold_node_of_twice_the_size_is_sent_about_twice_as_much_by_all_hosts() {
     let mut sum = [0.0_f64; 2];
-    let window = settings().fall_time / 100_000;
+    let window = settings().cold_window / 100_000;
     let mut sent = vec![[0.0_f64; 2]; 100];
     for host in 0..u64::from(HOSTS) {
         let mut s =
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -658,7 +658,7 @@
             s.request(Ask { units: 2.0, ..ask(id) });
             s.wait(100_000);
             let Event::Outcome(end) = outcome(id, 0, Ending::Served, true, 1, 10_000) else { unreachable!() };
-            s.event(Event::Outcome(Outcome { used: Some(used), ..end }));
+            s.event(Event::Outcome(Outcome { volume_use: Some(used), ..end }));
         }
         for id in 100..160 {
             s.request(Ask { shard: Some(1), ..ask(id) });
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -57,9 +57,9 @@
         hosts,
         number,
         cold_units: 13.0,
-        cold_from: 0.15,
-        cold_time: COLD,
-        fall_time: WINDOW,
+        cold_fraction: 0.15,
+        warmup_time: COLD,
+        cold_window: WINDOW,
         budget: None,
         ..common::settings()
     }
--- a/tests/rules_hold.rs
+++ b/tests/rules_hold.rs
@@ -52,7 +52,7 @@
     next: u64,
     states: BTreeMap<NodeId, (u32, NodeState, Option<Time>)>,
     next_node: NodeId,
-    key_rest: BTreeMap<u8, Time>,
+    key_cooldown: BTreeMap<u8, Time>,
     cold: Vec<(NodeId, Time, f64)>,
     store: f64,
     store_at: Time,
@@ -76,7 +76,7 @@
             next: 0,
             states: (0..4).map(|s| (s, (s, NodeState::Up, None))).collect(),
             next_node: 4,
-            key_rest: BTreeMap::new(),
+            key_cooldown: BTreeMap::new(),
             cold: Vec::new(),
             store_at,
             taken: Vec::new(),
@@ -154,7 +154,7 @@
                 let settled = o.over && o.tries.iter().all(|t| t.2.is_some());
                 assert!(o.order >= r.order || settled, "out of turn");
             }
-            let rest = self.key_rest.get(&r.key).copied().unwrap_or(0);
+            let rest = self.key_cooldown.get(&r.key).copied().unwrap_or(0);
             assert!(!r.tries.is_empty() || now >= rest, "the key must rest");
         }
         if let (true, Some(budget)) = (!r.tries.is_empty(), self.set.budget) {
@@ -163,11 +163,11 @@
             let taken = self.taken.iter().filter(|t| **t > now - budget.span).count() as f64;
             assert!(made <= budget.free + budget.share * taken, "over the budget");
         }
-        if let Some(at) = started.filter(|at| now - at < self.set.cold_time) {
+        if let Some(at) = started.filter(|at| now - at < self.set.warmup_time) {
             self.cold.push((node, now, r.units));
-            let window = self.cold.iter().filter(|c| c.0 == node && c.1 >= now - self.set.fall_time);
+            let window = self.cold.iter().filter(|c| c.0 == node && c.1 >= now - self.set.cold_window);
             let grown =
-                1.0 + (1.0 / self.set.cold_from - 1.0) * (now - at) as f64 / self.set.cold_time as f64;
+                1.0 + (1.0 / self.set.cold_fraction - 1.0) * (now - at) as f64 / self.set.warmup_time as f64;
             let part = self.set.cold_units / f64::from(self.set.hosts) * grown;
             assert!(window.map(|c| c.2).sum::<f64>() <= part, "a cold node pushed");
         }
@@ -201,7 +201,7 @@
         if self.set.classes[open.class].ordered
             && matches!(ending, Ending::TimedOut | Ending::Reset | Ending::Cancelled)
         {
-            self.key_rest.insert(open.key, now + self.set.key_rest);
+            self.key_cooldown.insert(open.key, now + self.set.key_cooldown);
         }
         self.event(outcome(id, attempt as u32, ending, closed, node, now - at));
     }
@@ -246,7 +246,7 @@
                 let live: Vec<_> = self.open.iter().filter(|(_, o)| !o.over).map(|(id, _)| *id).collect();
                 if let Some(id) = (!live.is_empty()).then(|| live[pick % live.len()]) {
                     self.open.get_mut(&id).unwrap().over = true;
-                    self.event(Event::Gone(id));
+                    self.event(Event::ClientGone(id));
                 }
             }
             Step::List { shard, state, fresh } => {
@@ -285,7 +285,7 @@
                 self.drive.scheduler =
                     claywinch::rules::Scheduler::new(self.set.clone(), seed, self.drive.now).unwrap();
                 self.open.clear();
-                self.key_rest.clear();
+                self.key_cooldown.clear();
                 self.taken.clear();
                 self.extra.clear();
                 self.list(ListKind::Saved);
@@ -306,7 +306,7 @@
             set.classes[1].effect = Effect::Keyed([Group::All, Group::Zone, Group::Shard][group]);
             let set = Settings {
                 budget: set.budget.filter(|_| budget),
-                key_rest: set.key_rest * rest,
+                key_cooldown: set.key_cooldown * rest,
                 list_on_request: budget,
                 ..set
             };
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -10,8 +10,8 @@
 const MS: Time = 1000;
 const S: Time = 1_000_000;
 
-fn class(aim: Time, worth: f64, effect: Effect, window: Time, attempts: u32) -> Class {
-    Class { aim, worth, late_worth: 0.2, effect, window, ordered: false, attempts }
+fn class(aim: Time, value: f64, effect: Effect, window: Time, attempts: u32) -> Class {
+    Class { aim, value, late_value: 0.2, effect, window, ordered: false, attempts }
 }
 
 fn plan(rate: f64, reserve: f64, weight: f64, limit: Option<Limit>) -> Plan {
@@ -29,12 +29,12 @@
             class(S, 1.0, Effect::Safe, 0, 4),
         ],
         plans: vec![plan(12.0, 6.0, 1.0, None), plan(25.0, 20.0, 1.0, None)],
-        tells_elsewhere: true,
-        second_copies: false,
+        reports_elsewhere: true,
+        concurrent_attempts: false,
         cancel: false,
         cold_units: 24.0,
-        cold_from: 0.15,
-        fall_time: 1_500 * MS,
+        cold_fraction: 0.15,
+        cold_window: 1_500 * MS,
         ..common::settings()
     };
     (Settings { budget: None, ..set }, [900 * MS, 1_100 * MS, 4 * S])
@@ -54,12 +54,12 @@
         ],
         plans: vec![plan(7.0, 2.0, 1.0, Some(limit)), plan(18.0, 15.0, 4.0, None)],
         meter_period: S,
-        tells_elsewhere: false,
-        second_copies: true,
+        reports_elsewhere: false,
+        concurrent_attempts: true,
         cancel: true,
         cold_units: 16.0,
-        cold_from: 0.21,
-        fall_time: 2 * S,
+        cold_fraction: 0.21,
+        cold_window: 2 * S,
         ..common::settings()
     };
     (Settings { budget: None, ..set }, [1_500 * MS, 2_500 * MS, 6 * S])
@@ -190,7 +190,7 @@
         assert!(arrival.shard.is_none_or(|s| s == shard), "sent where its data is not");
         let class = &self.set.classes[arrival.class];
         assert!(tries.len() < class.attempts as usize, "too many attempts");
-        assert!(self.set.second_copies || tries.iter().all(|t| t.2.is_some()), "two attempts out");
+        assert!(self.set.concurrent_attempts || tries.iter().all(|t| t.2.is_some()), "two attempts out");
         if let Some((first, at, _)) = tries.iter().find(|t| t.2.is_none_or(may_have_run)) {
             match class.effect {
                 Effect::Safe => {}
@@ -209,12 +209,12 @@
             self.least = self.least.min(level);
             self.stores.insert(arrival.volume.clone(), (now, level));
         }
-        if let Some(started) = self.started.get(&node).filter(|s| now - **s < self.set.cold_time) {
+        if let Some(started) = self.started.get(&node).filter(|s| now - **s < self.set.warmup_time) {
             let sends = self.cold.entry(node).or_default();
             sends.push((now, arrival.units));
-            let window: f64 = sends.iter().filter(|s| s.0 >= now - self.set.fall_time).map(|s| s.1).sum();
-            let grown =
-                1.0 + (1.0 / self.set.cold_from - 1.0) * (now - started) as f64 / self.set.cold_time as f64;
+            let window: f64 = sends.iter().filter(|s| s.0 >= now - self.set.cold_window).map(|s| s.1).sum();
+            let grown = 1.0
+                + (1.0 / self.set.cold_fraction - 1.0) * (now - started) as f64 / self.set.warmup_time as f64;
             assert!(window <= self.set.cold_units * grown, "a cold node pushed by all hosts: {window}");
         }
         // A node works in turn of arrival, a little unevenly, and fails now and then.
@@ -245,11 +245,11 @@
         if ending == Ending::Served && !open.over {
             (self.served, open.over) = (self.served + 1, true);
         }
-        let used = (self.set.meter_period > 0).then_some(1.2);
-        let (closed, waited) = (open.over, self.now - sent);
-        let elsewhere = if self.set.tells_elsewhere { 2.0 } else { 0.0 };
+        let volume_use = (self.set.meter_period > 0).then_some(1.2);
+        let (closed, elapsed) = (open.over, self.now - sent);
+        let served_elsewhere = if self.set.reports_elsewhere { 2.0 } else { 0.0 };
         let util = None;
-        let end = Outcome { id, attempt, ending, closed, node, waited, elsewhere, used, util };
+        let end = Outcome { id, attempt, ending, closed, node, elapsed, served_elsewhere, volume_use, util };
         self.event(host, Event::Outcome(end));
     }
 
