--- a/src/run/catalogue.rs
+++ b/src/run/catalogue.rs
@@ -4,7 +4,7 @@
 use super::config::{read_file, ConfigError};
 use crate::interface::{Class, Effect, NodeEntry, NodeState, Plan, Settings, ShardId, Time};
 use crate::state::integrity::{Facts, Geometry, BLOCK, MOST_BROKERS, PAGE};
-use crate::state::planner::Member;
+use crate::state::planner::ListedNode;
 use crate::wire::discovery::NodeNumbers;
 use crate::wire::nbd::server::{Catalogue, Export, Kind};
 use crate::wire::nbd::SUMS_SUFFIX;
@@ -394,7 +394,7 @@
     }
 
     /// The nodes as the planner knows them.
-    pub fn members(&self, numbers: &mut NodeNumbers) -> Vec<Member> {
+    pub fn members(&self, numbers: &mut NodeNumbers) -> Vec<ListedNode> {
         let member = |n: &NodeFile| {
             let entry = NodeEntry {
                 node: numbers.number(&n.id),
@@ -404,7 +404,7 @@
                 started: Some(n.up_since_ms).filter(|ms| *ms > 0).map(|ms| ms * 1000),
                 size: 0,
             };
-            Member { entry, address: n.address.clone() }
+            ListedNode { entry, address: n.address.clone() }
         };
         self.nodes.iter().map(member).collect()
     }
--- a/src/run/fleet.rs
+++ b/src/run/fleet.rs
@@ -1,10 +1,10 @@
 //! Drives a planner: waits for what happens, gives it its turns, and carries out what it wants on sockets.
 
 use crate::interface::{Ending, Time};
-use crate::state::planner::{Effect, End, Input, Planner, Wire};
-use crate::state::pool::{Lane, LinkId};
+use crate::state::interceptor::Interceptor;
+use crate::state::planner::{AttemptEnd, Effect, Input, Planner, Wire};
+use crate::state::pool::{ChannelKind, LinkId};
 use crate::state::room::Room;
-use crate::state::stage::Stage;
 use crate::wire::clock::Pulse;
 use crate::wire::link::{Exchange, LinkTask, Order, Permit};
 use std::cell::Cell;
@@ -30,10 +30,10 @@
     /// The planner.
     pub planner: Planner<W>,
     /// What stands before the planner.
-    pub stage: G,
+    pub interceptor: G,
     /// What happens.
     pub inputs: UnboundedReceiver<Input<W>>,
-    /// Comes when all clients are gone; told when the stage has come to its end, too.
+    /// Comes when all clients are gone; told when the interceptor has come to its end, too.
     pub ending: UnboundedReceiver<oneshot::Sender<()>>,
     /// Where links report to.
     pub own: UnboundedSender<Input<W>>,
@@ -47,21 +47,21 @@
     pub permit: Permit,
 }
 
-impl<W: Wire, G: Stage<W>> Fleet<W, G> {
+impl<W: Wire, G: Interceptor<W>> Fleet<W, G> {
     /// Turns until the process ends; `exchange` makes the protocol of a new link on a lane.
-    pub async fn run<X: Exchange<W>>(mut self, exchange: impl Fn(Lane) -> X) {
+    pub async fn run<X: Exchange<W>>(mut self, exchange: impl Fn(ChannelKind) -> X) {
         let mut links: HashMap<LinkId, UnboundedSender<Order<W>>> = HashMap::new();
         let (mut inputs, mut taken, mut effects) = (Vec::new(), Vec::new(), Vec::new());
         let mut ended: Option<oneshot::Sender<()>> = None;
         let (mut report_at, mut was_late) = (self.pulse.now() + REPORT, false);
         loop {
-            let wakes = [self.planner.next_deadline(), self.stage.next_deadline(), Some(report_at)];
+            let wakes = [self.planner.next_deadline(), self.interceptor.next_deadline(), Some(report_at)];
             let wake = wakes.into_iter().flatten().min().unwrap_or(report_at);
             tokio::select! {
                 n = self.inputs.recv_many(&mut inputs, MOST_INPUTS) => if n == 0 { return },
                 Some(told) = self.ending.recv() => {
                     ended = Some(told);
-                    self.stage.stop(self.pulse.now(), &mut taken);
+                    self.interceptor.stop(self.pulse.now(), &mut taken);
                 }
                 () = tokio::time::sleep_until(self.pulse.clock().instant(wake).into()) => {}
             }
@@ -83,14 +83,14 @@
                 if let Input::LinkDown(link, _) = &input {
                     links.remove(link);
                 }
-                self.stage.take(now, input, &mut taken);
+                self.interceptor.take(now, input, &mut taken);
             }
-            self.stage.sweep(now, self.planner.open_at(), &mut taken);
-            // What the planner answers can make the stage ask again. Each round takes a request further, and
+            self.interceptor.sweep(now, self.planner.open_by_shard(), &mut taken);
+            // What the planner answers can make the interceptor ask again. Each round takes a request further, and
             // a request has few steps that end without a word from a node.
             loop {
                 self.planner.turn(now, taken.drain(..), &mut effects);
-                self.stage.settle(now, &mut taken);
+                self.interceptor.collect_answers(now, &mut taken);
                 if taken.is_empty() {
                     break;
                 }
@@ -120,8 +120,8 @@
                         let sent = links.get(&link).is_some_and(|sender| sender.send(order).is_ok());
                         if !sent {
                             // The link has ended, and says so in the next turn; this was never written.
-                            let end = End::bare(Ending::Unreachable);
-                            let _ = self.own.send(Input::Ended(link, tag, end));
+                            let end = AttemptEnd::without_reply(Ending::Unreachable);
+                            let _ = self.own.send(Input::AttemptEnded(link, tag, end));
                         }
                     }
                     Effect::Withdraw(link, tag) => {
@@ -151,7 +151,7 @@
             if count == MOST_INPUTS {
                 tokio::task::yield_now().await;
             }
-            if self.stage.is_stopped() {
+            if self.interceptor.is_stopped() {
                 if let Some(told) = ended.take() {
                     // Whoever has stopped waiting need not be told.
                     let _ = told.send(());
@@ -167,7 +167,7 @@
     fn report(&mut self) {
         let (late, counts, load) =
             (self.planner.take_lateness(), self.planner.take_counts(), self.planner.load());
-        self.stage.report(self.pulse.now());
+        self.interceptor.report(self.pulse.now());
         tracing::info!(
             fleet = self.name,
             requests = load.0,
--- a/src/run/front.rs
+++ b/src/run/front.rs
@@ -70,7 +70,13 @@
     /// Takes connections for as long as the phase allows.
     pub async fn accept<S: Session<W>>(self, session: impl Fn() -> S) {
         let shared = self.shared;
-        let accepts = move |phase: &Phase| if shared { phase.accepts() } else { phase.accepts_alone() };
+        let accepts = move |phase: &Phase| {
+            if shared {
+                phase.accepts_connections()
+            } else {
+                phase.accepts_as_only_listener()
+            }
+        };
         let mut phase = self.site.phase.clone();
         loop {
             tokio::select! {
@@ -80,7 +86,7 @@
             }
             self.serve_waiting(&session, Admission::Served);
             // Another process that took them in its place may be gone.
-            let last = match phase.wait_for(|phase| accepts(phase) || phase.stops()).await {
+            let last = match phase.wait_for(|phase| accepts(phase) || phase.is_terminating()).await {
                 Ok(phase) if accepts(&phase) => {
                     self.note(|queue, now| queue.taken_back(now));
                     continue;
@@ -107,7 +113,7 @@
         for taken in 1_usize.. {
             if taken.is_multiple_of(TURN) {
                 tokio::task::yield_now().await;
-                if self.site.phase.borrow().ends_at().is_some_and(|at| at <= self.site.pulse.now()) {
+                if self.site.phase.borrow().last_answer_at().is_some_and(|at| at <= self.site.pulse.now()) {
                     // Whoever still comes could not be answered any more.
                     return;
                 }
--- a/src/run/handover.rs
+++ b/src/run/handover.rs
@@ -5,9 +5,9 @@
 use crate::interface::{ListKind, Time};
 use crate::state::handover::{Handover, NodeLeft, Process};
 use crate::state::parts::{self, Step};
-use crate::state::phase::{Move, Phase};
-use crate::state::planner::{Input, Member, Wire};
-use crate::state::pool::FEW_LINKS;
+use crate::state::phase::{Phase, Transition};
+use crate::state::planner::{Input, ListedNode, Wire};
+use crate::state::pool::SUPERSEDED_LINKS;
 use crate::state::upkeep::Upkeep;
 use crate::wire::admin::desk::{step, Keep};
 use crate::wire::clock::Clock;
@@ -100,7 +100,7 @@
                 }
             }
             let shared = (changed || beside || self.own.part < 1.0) && self.share_limits(&sight).await;
-            let ready = self.phase.borrow().accepts() && *self.phase.borrow() != Phase::Starting;
+            let ready = self.phase.borrow().accepts_connections() && *self.phase.borrow() != Phase::Starting;
             let news = self.own.ready != ready || changed && beside;
             let list = seen.written != Some(self.revision.get()) && now - seen.beat >= LIST;
             let first = seen.beat == 0;
@@ -143,7 +143,7 @@
             self.bound(clients, Some(links));
         }
         let before = *self.phase.borrow();
-        let _ = step(&self.phase, Move::Yield(successor), now);
+        let _ = step(&self.phase, Transition::Yield(successor), now);
         if before != *self.phase.borrow() {
             // Cold nodes are left to the process that serves in the place of this one.
             let cold = successor.then_some(self.cold);
@@ -173,7 +173,7 @@
     async fn spend(&mut self, part: f64) {
         let (reached, done) = oneshot::channel();
         let _ = self.planner.send(Input::Part(part));
-        let _ = self.planner.send(Input::Reached(reached));
+        let _ = self.planner.send(Input::Barrier(reached));
         // A planner that is gone spends nothing.
         let _ = done.await;
         tracing::info!(part, "part of the limits");
@@ -183,10 +183,10 @@
 
     fn bound(&self, clients: usize, links: Option<usize>) {
         self.clients.set(clients);
-        let _ = self.planner.send(Input::Links(links));
+        let _ = self.planner.send(Input::LinkLimit(links));
     }
 
-    fn tell(&self, told: Vec<Member>) {
+    fn tell(&self, told: Vec<ListedNode>) {
         if !told.is_empty() {
             let _ = self.planner.send(Input::Nodes(ListKind::Changes, told));
         }
@@ -212,7 +212,7 @@
         let (lock, sight) = (taken.lock, taken.sight);
         let Some(Ok(mut handover)) = sight.content else { return false };
         self.tell(self.upkeep.borrow_mut().merge(now, std::mem::take(&mut handover.bans)));
-        let few = if self.own.ready { 0 } else { FEW_LINKS };
+        let few = if self.own.ready { 0 } else { SUPERSEDED_LINKS };
         (self.own.beat, self.own.held) = (now, taken.held.map_or(self.descriptors / 2, |held| held + few));
         let own = self.own.part;
         let lives = |id: u64| sight.living.contains(&id);
--- a/src/run/nbd.rs
+++ b/src/run/nbd.rs
@@ -115,13 +115,13 @@
         deploy: deploy.clone(),
     };
     let ids = Numbers::default();
-    let stage =
+    let interceptor =
         Guard::new(exports.clone(), ids.clone(), deploy.integrity.pages(), deploy.settings().warmup_time);
     let (ending, ended) = unbounded_channel();
     let fleet = Fleet {
         name: "nbd",
         planner,
-        stage,
+        interceptor,
         ending: ended,
         inputs,
         own: own.clone(),
--- a/src/run/reload.rs
+++ b/src/run/reload.rs
@@ -5,9 +5,9 @@
 use super::settings::Start;
 use super::tuning::Tuning;
 use crate::interface::Time;
-use crate::state::phase::{grace, Move, Phase};
+use crate::state::phase::{grace, Phase, Transition};
 use crate::state::planner::Input;
-use crate::state::pool::LinkTerms;
+use crate::state::pool::LinkSettings;
 use crate::state::told::Terms;
 use crate::wire::admin::desk::step;
 use crate::wire::clock::Clock;
@@ -96,7 +96,7 @@
     }
 
     /// Takes what was read whole, all at once.
-    fn take(&mut self, new: Reread) -> Result<LinkTerms, String> {
+    fn take(&mut self, new: Reread) -> Result<LinkSettings, String> {
         let (bounds, lists, deadlines) = (new.start.bounds, new.start.lists, longest(&new.start));
         let terms = self.tuning.take(new.start)?;
         *self.common.terms.borrow_mut() = Rc::new(terms);
@@ -104,8 +104,8 @@
         self.connect_timeout.set(bounds.connect());
         self.lists.set(lists);
         self.deadlines.set(deadlines);
-        let _ = step(&self.phase, Move::Grace(grace(deadlines)), self.clock.now());
-        if let Some(by) = self.phase.borrow().ends_at() {
+        let _ = step(&self.phase, Transition::Grace(grace(deadlines)), self.clock.now());
+        if let Some(by) = self.phase.borrow().last_answer_at() {
             let _ = self.planner.send(Input::EndBy(by));
         }
         self.text = new.text;
@@ -118,7 +118,7 @@
     }
 
     /// Tells the scheduler. What clients asked before is on its way to it before this.
-    fn tell(&self, links: LinkTerms) {
+    fn tell(&self, links: LinkSettings) {
         if let Some(settings) = self.tuning.settings() {
             let _ = self.planner.send(Input::Settings(Box::new(settings), links));
         }
--- a/src/run/settings.rs
+++ b/src/run/settings.rs
@@ -2,7 +2,7 @@
 //! Unknown keys are ignored.
 
 use crate::interface::{Budget, Class, Effect, Group, Limit, Plan, Settings, Time};
-use crate::state::pool::LinkTerms;
+use crate::state::pool::LinkSettings;
 use crate::state::told;
 use serde_json::Value;
 use std::time::Duration;
@@ -44,8 +44,8 @@
 
 impl Bounds {
     /// The same for a pool: links are let go well before nodes close them.
-    pub fn links(&self) -> LinkTerms {
-        LinkTerms { multiplex: self.multiplex, idle: self.conn_idle * 3 / 5 }
+    pub fn links(&self) -> LinkSettings {
+        LinkSettings { multiplex: self.multiplex, idle: self.conn_idle * 3 / 5 }
     }
 
     /// How long a connection to a node may take to come up.
--- a/src/run/start.rs
+++ b/src/run/start.rs
@@ -17,13 +17,13 @@
 use crate::interface::{ListKind, Time};
 use crate::state::accept_queue::AcceptQueue;
 use crate::state::handover::Process;
+use crate::state::interceptor::PassThrough;
 use crate::state::membership::mix;
-use crate::state::phase::{Move, Phase};
+use crate::state::phase::{Phase, Transition};
 use crate::state::planner::{Input, Planner};
 use crate::state::pool::PoolLimits;
 use crate::state::room::Room;
 use crate::state::seats::Seats;
-use crate::state::stage::Through;
 use crate::state::starts::Starts;
 use crate::state::told::Told;
 use crate::state::upkeep::Upkeep;
@@ -144,7 +144,7 @@
     let fleet = Fleet {
         name: "resp",
         planner,
-        stage: Through,
+        interceptor: PassThrough,
         ending: unbounded_channel().1,
         inputs,
         own: own.clone(),
@@ -293,7 +293,7 @@
         tokio::task::spawn_local(admin::serve::accept(listen_soon(address).await?, desk, callers));
         tracing::info!(address, "operators' calls");
     }
-    let _ = step(&phase, Move::Started, clock.now());
+    let _ = step(&phase, Transition::Started, clock.now());
     tracing::info!(name = config.name, listen = config.listen, inherited, beside, ?limits, "serving");
 
     let ending = Ending {
--- a/src/run/stop.rs
+++ b/src/run/stop.rs
@@ -4,7 +4,7 @@
 use super::nbd;
 use crate::interface::Time;
 use crate::state::guard::Guard;
-use crate::state::phase::{grace, last_read, Move, Phase};
+use crate::state::phase::{grace, last_read, Phase, Transition};
 use crate::state::planner::Input;
 use crate::state::seats::Seats;
 use crate::wire::admin::desk::step;
@@ -64,7 +64,7 @@
         if matches!(*self.phase.borrow(), Phase::HandingOver(..)) {
             self.pulse.sleep_until(told + last_read(self.grace())).await;
         }
-        self.step(Move::Close, self.pulse.now());
+        self.step(Transition::Close, self.pulse.now());
         let empty = || self.seats.is_empty() && self.nbd.as_ref().is_none_or(|n| n.seats.is_empty());
         let emptied = async {
             // What the kernel had accepted takes its seats first. A task that is gone takes none.
@@ -94,7 +94,7 @@
         grace(self.deadlines.get())
     }
 
-    fn step(&self, what: Move, at: Time) {
+    fn step(&self, what: Transition, at: Time) {
         step_phase(&self.phase, what, at);
     }
 
@@ -106,7 +106,7 @@
             match tokio::time::timeout(FOLLOWED, &mut asked).await {
                 Ok(followed) => {
                     if followed == Some(true) {
-                        self.step(Move::Yield(true), told);
+                        self.step(Transition::Yield(true), told);
                     }
                 }
                 Err(_) => {
@@ -114,15 +114,15 @@
                     let phase = self.phase.clone();
                     tokio::task::spawn_local(async move {
                         if asked.await == Some(true) {
-                            step_phase(&phase, Move::Yield(true), told);
+                            step_phase(&phase, Transition::Yield(true), told);
                         }
                     });
                 }
             }
         }
-        self.step(Move::Stop(self.grace()), told);
+        self.step(Transition::Stop(self.grace()), told);
         // Whatever was taken before under a longer deadline has its answer by then, too.
-        if let Some(by) = self.phase.borrow().ends_at() {
+        if let Some(by) = self.phase.borrow().last_answer_at() {
             let _ = self.planner.send(Input::EndBy(by));
             if let Some(nbd) = &self.nbd {
                 let _ = nbd.planner.send(Input::EndBy(by));
@@ -131,7 +131,7 @@
     }
 }
 
-fn step_phase(phase: &watch::Sender<Phase>, what: Move, at: Time) {
+fn step_phase(phase: &watch::Sender<Phase>, what: Transition, at: Time) {
     // From stopping there is no way back, and none is asked for here.
     let _ = step(phase, what, at);
 }
--- a/src/state/activity.rs
+++ b/src/state/activity.rs
@@ -67,12 +67,12 @@
     }
 
     /// Whether a command has begun that is not whole.
-    pub fn is_amid_command(&self) -> bool {
+    pub fn has_partial_command(&self) -> bool {
         self.begun.is_some()
     }
 
     /// Gives up a command that is not whole.
-    pub fn give_up_command(&mut self) {
+    pub fn discard_partial_command(&mut self) {
         self.begun = None;
     }
 
--- a/src/state/guard.rs
+++ b/src/state/guard.rs
@@ -117,7 +117,7 @@
 
 impl CloseReason {
     /// Whether the broker ends a connection by its own wish, between requests.
-    pub fn is_own_wish(self) -> bool {
+    pub fn is_broker_initiated(self) -> bool {
         matches!(self, CloseReason::Idle | CloseReason::PlaceWanted | CloseReason::SentAway)
     }
 
--- a/src/state/handover.rs
+++ b/src/state/handover.rs
@@ -2,7 +2,7 @@
 //! text with a head that names its version, its length and its checksum. Reading and writing files is not done
 //! here.
 
-use super::planner::Member;
+use super::planner::ListedNode;
 use super::upkeep::{Ban, Listed};
 use crate::interface::{NodeEntry, NodeId, NodeState, ShardId, Time};
 use serde::{Deserialize, Serialize};
@@ -89,7 +89,7 @@
         let state = if self.draining { NodeState::Draining } else { NodeState::Up };
         let (zone, shard, started, size) = (self.zone, self.shard, self.started, self.size);
         let entry = NodeEntry { node: number(&self.name), zone, shard, state, started, size };
-        Listed { name: self.name, member: Member { entry, address: self.address } }
+        Listed { name: self.name, member: ListedNode { entry, address: self.address } }
     }
 }
 
--- a/src/state/phase.rs
+++ b/src/state/phase.rs
@@ -52,7 +52,7 @@
 
 /// What can move it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Move {
+pub enum Transition {
     /// It listens and has its settings.
     Started,
     /// Staff empty it.
@@ -71,7 +71,7 @@
 
 /// Why a move is not made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum NotNow {
+pub enum TransitionError {
     /// There is no way back from stopping.
     #[error("the broker is stopping")]
     Stopping,
@@ -79,24 +79,26 @@
 
 impl Phase {
     /// The phase after a move. A call that is repeated changes nothing, nor its time.
-    pub fn after(self, what: Move, now: Time) -> Result<Phase, NotNow> {
+    pub fn after(self, what: Transition, now: Time) -> Result<Phase, TransitionError> {
         let stopping = matches!(self, Phase::Stopping(..) | Phase::HandingOver(..) | Phase::Closing(..));
         Ok(match (what, self) {
-            (Move::Started, Phase::Starting) => Phase::Serving,
-            (Move::Leave, Phase::Starting | Phase::Serving | Phase::Yielding) => Phase::Leaving(now),
-            (Move::Join, _) if stopping => return Err(NotNow::Stopping),
-            (Move::Join, Phase::Leaving(_)) => Phase::Serving,
-            (Move::Yield(true), Phase::Serving) => Phase::Yielding,
-            (Move::Yield(false), Phase::Yielding) => Phase::Serving,
+            (Transition::Started, Phase::Starting) => Phase::Serving,
+            (Transition::Leave, Phase::Starting | Phase::Serving | Phase::Yielding) => Phase::Leaving(now),
+            (Transition::Join, _) if stopping => return Err(TransitionError::Stopping),
+            (Transition::Join, Phase::Leaving(_)) => Phase::Serving,
+            (Transition::Yield(true), Phase::Serving) => Phase::Yielding,
+            (Transition::Yield(false), Phase::Yielding) => Phase::Serving,
             // Of one that staff have emptied nobody knows any more, either.
-            (Move::Stop(grace), Phase::Yielding | Phase::Leaving(_)) => Phase::HandingOver(now, grace),
-            (Move::Stop(grace), _) if !stopping => Phase::Stopping(now, grace),
+            (Transition::Stop(grace), Phase::Yielding | Phase::Leaving(_)) => Phase::HandingOver(now, grace),
+            (Transition::Stop(grace), _) if !stopping => Phase::Stopping(now, grace),
             // It may have been told to stop before it was known that another process follows.
-            (Move::Yield(true), Phase::Stopping(at, grace)) => Phase::HandingOver(at, grace),
-            (Move::Grace(other), Phase::Stopping(at, grace)) => Phase::Stopping(at, grace.min(other)),
-            (Move::Grace(other), Phase::HandingOver(at, grace)) => Phase::HandingOver(at, grace.min(other)),
-            (Move::Grace(other), Phase::Closing(at, grace)) => Phase::Closing(at, grace.min(other)),
-            (Move::Close, Phase::Stopping(at, grace) | Phase::HandingOver(at, grace)) => {
+            (Transition::Yield(true), Phase::Stopping(at, grace)) => Phase::HandingOver(at, grace),
+            (Transition::Grace(other), Phase::Stopping(at, grace)) => Phase::Stopping(at, grace.min(other)),
+            (Transition::Grace(other), Phase::HandingOver(at, grace)) => {
+                Phase::HandingOver(at, grace.min(other))
+            }
+            (Transition::Grace(other), Phase::Closing(at, grace)) => Phase::Closing(at, grace.min(other)),
+            (Transition::Close, Phase::Stopping(at, grace) | Phase::HandingOver(at, grace)) => {
                 Phase::Closing(at, grace)
             }
             (_, same) => same,
@@ -104,28 +106,28 @@
     }
 
     /// Whether clients are welcome: what `PING` says.
-    pub fn welcomes(self) -> bool {
+    pub fn answers_ping(self) -> bool {
         matches!(self, Phase::Serving | Phase::Yielding | Phase::Stopping(..))
     }
 
     /// Whether a client that is sent here now is served, as far as it depends on this: what `HEALTH` says.
-    pub fn serves(self) -> bool {
+    pub fn is_healthy(self) -> bool {
         matches!(self, Phase::Serving | Phase::Yielding)
     }
 
     /// Whether connections are taken.
-    pub fn accepts(self) -> bool {
+    pub fn accepts_connections(self) -> bool {
         !matches!(self, Phase::Yielding | Phase::HandingOver(..) | Phase::Closing(..))
     }
 
     /// Whether connections are taken on a socket on which no other process accepts: until the last moment, since nobody would
     /// answer them.
-    pub fn accepts_alone(self) -> bool {
+    pub fn accepts_as_only_listener(self) -> bool {
         !matches!(self, Phase::Closing(..))
     }
 
     /// Whether the process is about to end.
-    pub fn stops(self) -> bool {
+    pub fn is_terminating(self) -> bool {
         matches!(self, Phase::HandingOver(..) | Phase::Closing(..))
     }
 
@@ -154,15 +156,15 @@
     }
 
     /// Whether what has come on a connection between requests is still read before that is closed.
-    pub fn reads_between(self, now: Time) -> bool {
+    pub fn reads_idle_connections(self, now: Time) -> bool {
         match self {
             Phase::Leaving(_) => true,
-            _ => self.deaf_at().is_none_or(|at| at > now),
+            _ => self.stops_reading_at().is_none_or(|at| at > now),
         }
     }
 
     /// From when on nothing more is read of a client that is owed something, if it ever stops so.
-    pub fn deaf_at(self) -> Option<Time> {
+    pub fn stops_reading_at(self) -> Option<Time> {
         match self {
             Phase::Leaving(at) => Some(at + LATEST),
             Phase::HandingOver(at, grace) | Phase::Closing(at, grace) => Some(at + last_read(grace)),
@@ -171,7 +173,7 @@
     }
 
     /// The last moment at which an answer is given before the process may be ended, if it was told to stop.
-    pub fn ends_at(self) -> Option<Time> {
+    pub fn last_answer_at(self) -> Option<Time> {
         match self {
             Phase::HandingOver(at, grace) | Phase::Stopping(at, grace) | Phase::Closing(at, grace) => {
                 Some(at + grace - LAST_ANSWER)
@@ -181,10 +183,10 @@
     }
 
     /// When a request that is taken at `now` must have its answer, whatever its client would wait for.
-    pub fn answers_by(self, now: Time) -> Option<Time> {
+    pub fn answer_deadline(self, now: Time) -> Option<Time> {
         match self {
             Phase::Leaving(_) if self.is_emptied(now) => Some(now),
-            _ => self.ends_at(),
+            _ => self.last_answer_at(),
         }
     }
 }
--- a/src/state/pipe.rs
+++ b/src/state/pipe.rs
@@ -17,11 +17,11 @@
 
 /// What has become of a value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Course {
+pub enum Progress {
     /// Bytes are still to come.
-    Going,
+    Ongoing,
     /// All have come, and what came after them fits.
-    Whole,
+    Complete,
     /// The rest will never come.
     Broken,
 }
@@ -32,7 +32,7 @@
     chunks: RefCell<VecDeque<Bytes>>,
     held: Cell<usize>,
     part: RefCell<Part>,
-    course: Cell<Course>,
+    course: Cell<Progress>,
     /// Whether any byte has been taken out.
     tapped: Cell<bool>,
     takers: Cell<usize>,
@@ -42,29 +42,29 @@
 
 /// Where bytes are put in. Dropped before the value is whole, it breaks it.
 #[derive(Debug)]
-pub struct Giver(Rc<Inner>);
+pub struct PipeWriter(Rc<Inner>);
 
 /// Where bytes are taken out.
 #[derive(Debug)]
-pub struct Taker(Rc<Inner>);
+pub struct PipeReader(Rc<Inner>);
 
 /// A window whose bytes are charged to a room.
-pub fn pipe(room: &Room, most: usize) -> (Giver, Taker) {
+pub fn pipe(room: &Room, most: usize) -> (PipeWriter, PipeReader) {
     let inner = Rc::new(Inner {
         most,
         chunks: RefCell::default(),
         held: Cell::new(0),
         part: RefCell::new(room.part()),
-        course: Cell::new(Course::Going),
+        course: Cell::new(Progress::Ongoing),
         tapped: Cell::new(false),
         takers: Cell::new(1),
         put: Notify::new(),
         taken: Notify::new(),
     });
-    (Giver(inner.clone()), Taker(inner))
+    (PipeWriter(inner.clone()), PipeReader(inner))
 }
 
-impl Giver {
+impl PipeWriter {
     /// How many bytes may be put in now. What is held is charged, and a little ahead of it.
     pub fn space(&self) -> usize {
         let held = self.0.held.get();
@@ -86,31 +86,31 @@
 
     /// All bytes are in.
     pub fn finish(self) {
-        self.0.course.set(Course::Whole);
+        self.0.course.set(Progress::Complete);
     }
 
     /// Whether nobody takes any more.
-    pub fn is_idle(&self) -> bool {
+    pub fn is_abandoned(&self) -> bool {
         self.0.takers.get() == 0
     }
 
     /// Waits until some were taken, or nobody takes any more. Holds nothing of the giver.
-    pub fn taken(&self) -> impl std::future::Future<Output = ()> + 'static {
+    pub fn wait_for_space(&self) -> impl std::future::Future<Output = ()> + 'static {
         let inner = self.0.clone();
         async move { inner.taken.notified().await }
     }
 }
 
-impl Drop for Giver {
+impl Drop for PipeWriter {
     fn drop(&mut self) {
-        if self.0.course.get() == Course::Going {
-            self.0.course.set(Course::Broken);
+        if self.0.course.get() == Progress::Ongoing {
+            self.0.course.set(Progress::Broken);
         }
         self.0.put.notify_one();
     }
 }
 
-impl Taker {
+impl PipeReader {
     /// The next bytes, if any wait.
     pub fn take(&self) -> Option<Bytes> {
         let chunk = self.0.chunks.borrow_mut().pop_front()?;
@@ -125,33 +125,33 @@
     }
 
     /// What has become of the value; it is whole only when all that waited is taken, too.
-    pub fn course(&self) -> Course {
+    pub fn progress(&self) -> Progress {
         match self.0.course.get() {
-            Course::Whole if self.0.held.get() > 0 => Course::Going,
+            Progress::Complete if self.0.held.get() > 0 => Progress::Ongoing,
             course => course,
         }
     }
 
     /// Whether bytes were taken that nobody can take again.
-    pub fn is_tapped(&self) -> bool {
+    pub fn is_consumed(&self) -> bool {
         self.0.tapped.get()
     }
 
     /// Waits until some were put in, or none will be. Holds nothing of the taker.
-    pub fn put(&self) -> impl std::future::Future<Output = ()> + 'static {
+    pub fn wait_for_bytes(&self) -> impl std::future::Future<Output = ()> + 'static {
         let inner = self.0.clone();
         async move { inner.put.notified().await }
     }
 }
 
-impl Clone for Taker {
+impl Clone for PipeReader {
     fn clone(&self) -> Self {
         self.0.takers.set(self.0.takers.get() + 1);
-        Taker(self.0.clone())
+        PipeReader(self.0.clone())
     }
 }
 
-impl Drop for Taker {
+impl Drop for PipeReader {
     fn drop(&mut self) {
         self.0.takers.set(self.0.takers.get() - 1);
         if self.0.takers.get() == 0 {
@@ -169,16 +169,16 @@
     #[test]
     fn a_value_passes_in_parts_and_is_whole_only_when_all_is_taken() {
         let (giver, taker) = pipe(&Room::new(1 << 20), WINDOW);
-        assert_eq!((giver.space(), taker.take(), taker.course()), (WINDOW, None, Course::Going));
+        assert_eq!((giver.space(), taker.take(), taker.progress()), (WINDOW, None, Progress::Ongoing));
         giver.put(Bytes::from(vec![1; WINDOW - 5]));
         giver.put(Bytes::from_static(b"ab"));
-        assert_eq!((giver.space(), taker.is_tapped()), (3, false));
+        assert_eq!((giver.space(), taker.is_consumed()), (3, false));
         assert_eq!(taker.take().map(|b| b.len()), Some(WINDOW - 5));
-        assert_eq!((giver.space(), taker.is_tapped()), (WINDOW - 2, true));
+        assert_eq!((giver.space(), taker.is_consumed()), (WINDOW - 2, true));
         giver.finish();
-        assert_eq!(taker.course(), Course::Going, "some of it still waits");
+        assert_eq!(taker.progress(), Progress::Ongoing, "some of it still waits");
         assert_eq!(taker.take().as_deref(), Some(&b"ab"[..]));
-        assert_eq!(taker.course(), Course::Whole);
+        assert_eq!(taker.progress(), Progress::Complete);
     }
 
     /// Guards against a value cut off that passes for a whole one, and a source that fills a window nobody empties.
@@ -187,20 +187,20 @@
         let (giver, taker) = pipe(&Room::new(1 << 20), WINDOW);
         giver.put(Bytes::from_static(b"ab"));
         drop(giver);
-        assert_eq!(taker.course(), Course::Broken);
+        assert_eq!(taker.progress(), Progress::Broken);
         let (giver, taker) = pipe(&Room::new(1 << 20), WINDOW);
         let other = taker.clone();
         drop(taker);
-        assert!(!giver.is_idle());
+        assert!(!giver.is_abandoned());
         drop(other);
-        assert!(giver.is_idle());
+        assert!(giver.is_abandoned());
     }
 
     /// Guards against windows that together outgrow the memory, and against ones that stop for good without room.
     #[test]
     fn windows_are_charged_and_shrink_without_room() {
         let room = Room::new(2 * (WINDOW - LEAST));
-        let pipes: Vec<(Giver, Taker)> = (0..3).map(|_| pipe(&room, WINDOW)).collect();
+        let pipes: Vec<(PipeWriter, PipeReader)> = (0..3).map(|_| pipe(&room, WINDOW)).collect();
         let spaces: Vec<usize> = pipes.iter().map(|(giver, _)| giver.space()).collect();
         assert_eq!(spaces, [WINDOW, WINDOW, LEAST]);
         drop(pipes);
--- a/src/state/planner.rs
+++ b/src/state/planner.rs
@@ -4,7 +4,7 @@
 
 use super::deadlines::{Deadlines, Lateness};
 use super::guard::{Guard, Repeats};
-use super::pool::{Lane, LinkId, LinkTerms, Pick, Pool, PoolLimits, Sharing, FEW_LINKS};
+use super::pool::{ChannelKind, LinkId, LinkSettings, Pick, Pool, PoolLimits, Sharing, SUPERSEDED_LINKS};
 use crate::interface::{
     Action, Arrival, Effect as Harm, Ending, Event, ListKind, NodeEntry, NodeId, NodeState,
 };
@@ -22,20 +22,20 @@
     type Reply: 'static;
 
     /// Whether several attempts may be out on one link.
-    const SHARING: Sharing = Sharing::Answers;
+    const SHARING: Sharing = Sharing::Multiplexed;
 
     /// Which of a node's links can carry a request.
-    fn lane(_: &Self::Request) -> Lane {
+    fn channel_kind(_: &Self::Request) -> ChannelKind {
         0
     }
 
     /// Whether the request's body comes while it is sent on: its time is then not known before all of it has come.
-    fn flows(_: &Self::Request) -> bool {
+    fn streams_body(_: &Self::Request) -> bool {
         false
     }
 
     /// Whether some of such a body is gone, so that the request cannot be sent again.
-    fn is_spent(_: &Self::Request) -> bool {
+    fn is_body_consumed(_: &Self::Request) -> bool {
         false
     }
 }
@@ -52,23 +52,23 @@
 }
 
 /// Where a front takes its final answers.
-pub type Back<R> = UnboundedSender<(RequestId, Answer<R>)>;
+pub type AnswerSender<R> = UnboundedSender<(RequestId, Answer<R>)>;
 
 /// A request that a front has taken.
-pub struct Ask<W: Wire> {
+pub struct ClientRequest<W: Wire> {
     /// What the scheduler is told of it.
     pub arrival: Arrival,
     /// What a node is told.
     pub request: W::Request,
     /// Where the final answer goes.
-    pub back: Back<W::Reply>,
+    pub back: AnswerSender<W::Reply>,
     /// A session has taken it, and the guard knows of it.
     pub of_client: bool,
 }
 
 /// The times of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Span {
+pub struct AttemptTimes {
     /// It is not begun at this time or later.
     pub begin_by: Time,
     /// Its answer is no longer waited for from then on.
@@ -76,11 +76,11 @@
 }
 
 /// An attempt: its request and its number.
-pub type Tag = (RequestId, u32);
+pub type AttemptId = (RequestId, u32);
 
 /// How an attempt ended, as its link saw it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct End<R> {
+pub struct AttemptEnd<R> {
     /// How it ended.
     pub ending: Ending,
     /// The node's reply, if it was served.
@@ -93,16 +93,16 @@
     pub util: Option<f64>,
 }
 
-impl<R> End<R> {
+impl<R> AttemptEnd<R> {
     /// An end without a reply or figures.
-    pub fn bare(ending: Ending) -> Self {
-        End { ending, reply: None, used: None, elsewhere: 0.0, util: None }
+    pub fn without_reply(ending: Ending) -> Self {
+        AttemptEnd { ending, reply: None, used: None, elsewhere: 0.0, util: None }
     }
 }
 
 /// A node of a list with its address.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Member {
+pub struct ListedNode {
     /// What the scheduler is told.
     pub entry: NodeEntry,
     /// Where it listens.
@@ -111,7 +111,7 @@
 
 /// How a link has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Down {
+pub enum LinkEnd {
     /// It was up.
     Ended,
     /// It was up, and its node gave an answer that nothing had asked for: a second one to an earlier request.
@@ -125,30 +125,30 @@
 /// What happened.
 pub enum Input<W: Wire> {
     /// A front took a request.
-    Ask(Ask<W>),
+    Request(ClientRequest<W>),
     /// A client is gone; nobody waits for this request any more.
-    Gone(RequestId),
+    ClientGone(RequestId),
     /// An attempt on a link ended.
-    Ended(LinkId, Tag, End<W::Reply>),
+    AttemptEnded(LinkId, AttemptId, AttemptEnd<W::Reply>),
     /// The reply to an attempt on a link has begun and is passed on while it comes; the link is not free yet.
-    Begun(LinkId, Tag, End<W::Reply>),
+    ReplyBegun(LinkId, AttemptId, AttemptEnd<W::Reply>),
     /// Such a reply has come to its end.
-    Free(LinkId),
+    ReplyFinished(LinkId),
     /// All of a request's body has come; when its client gives up.
-    Whole(RequestId, Time),
+    BodyComplete(RequestId, Time),
     /// The connection of a link is up.
     LinkUp(LinkId),
     /// Something has come on a link that belongs to what is not whole yet: for how long the next of it may be waited
     /// for. Nothing, if all is whole or the link does not wait for its node.
-    Partial(LinkId, Option<Time>),
+    PartialReply(LinkId, Option<Time>),
     /// A link is over; all its attempts have ended before.
-    LinkDown(LinkId, Down),
+    LinkDown(LinkId, LinkEnd),
     /// News of the nodes.
-    Nodes(ListKind, Vec<Member>),
+    Nodes(ListKind, Vec<ListedNode>),
     /// A probe ended.
     Probed(NodeId, Ending, Option<f64>),
     /// New settings; see [`Event::Settings`].
-    Settings(Box<Settings>, LinkTerms),
+    Settings(Box<Settings>, LinkSettings),
     /// The part of all limits that is this process's; see [`Event::LimitShare`].
     Part(f64),
     /// Nothing may be sent to any node, or it may again.
@@ -158,20 +158,20 @@
     /// So late the process runs, in microseconds.
     Late(Time),
     /// So many links there may be from now on; if nothing, few more than there are.
-    Links(Option<usize>),
+    LinkLimit(Option<usize>),
     /// Whoever holds the other end is told once the turn is over that took all before this.
-    Reached(oneshot::Sender<()>),
+    Barrier(oneshot::Sender<()>),
 }
 
 /// What is to be done, in this order.
 #[derive(Debug)]
 pub enum Effect<W: Wire> {
     /// Open a link to a node.
-    Open(LinkId, NodeId, Lane, String),
+    Open(LinkId, NodeId, ChannelKind, String),
     /// Send an attempt on a link, within these times.
-    Send(LinkId, Tag, Span, W::Request),
+    Send(LinkId, AttemptId, AttemptTimes, W::Request),
     /// Nobody wants an attempt on a link any more: it is not to begin.
-    Withdraw(LinkId, Tag),
+    Withdraw(LinkId, AttemptId),
     /// A link's node takes nothing more: what has not begun there is to be given back.
     Bar(LinkId),
     /// Close a link without a word.
@@ -186,7 +186,7 @@
     /// The scheduler wants a turn.
     Scheduler,
     /// An attempt is not waited for any longer.
-    Attempt(Tag),
+    Attempt(AttemptId),
     /// A link may have been idle for too long.
     Idle(LinkId),
     /// A reply that began on a link should be whole by now.
@@ -203,7 +203,7 @@
 /// A request that has no final answer yet.
 struct Open<W: Wire> {
     request: W::Request,
-    back: Back<W::Reply>,
+    back: AnswerSender<W::Reply>,
     tries: u32,
     /// How its last attempt ended.
     last: Option<Ending>,
@@ -219,7 +219,7 @@
 }
 
 /// Requests without a final answer by the shard that they are for; none for new objects.
-pub type OpenAt = BTreeMap<Option<ShardId>, usize>;
+pub type OpenByShard = BTreeMap<Option<ShardId>, usize>;
 
 /// What has happened since the last count.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
@@ -247,10 +247,10 @@
     scheduler: Scheduler,
     requests: BTreeMap<RequestId, Open<W>>,
     /// How many of them there are by shard; none for new objects. A shard without any has no entry.
-    open_at: OpenAt,
-    attempts: BTreeMap<Tag, Attempt>,
+    open_by_shard: OpenByShard,
+    attempts: BTreeMap<AttemptId, Attempt>,
     /// The same by the link they are on. A link without any has no entry.
-    on_link: BTreeMap<LinkId, BTreeSet<Tag>>,
+    on_link: BTreeMap<LinkId, BTreeSet<AttemptId>>,
     addresses: BTreeMap<NodeId, String>,
     pool: Pool,
     guard: Guard,
@@ -269,7 +269,7 @@
         Ok(Planner {
             scheduler: Scheduler::new(settings, seed, now)?,
             requests: BTreeMap::new(),
-            open_at: OpenAt::new(),
+            open_by_shard: OpenByShard::new(),
             attempts: BTreeMap::new(),
             on_link: BTreeMap::new(),
             addresses: BTreeMap::new(),
@@ -314,18 +314,18 @@
     }
 
     /// Requests without a final answer, out and held, by shard.
-    pub fn open_at(&self) -> &OpenAt {
-        &self.open_at
+    pub fn open_by_shard(&self) -> &OpenByShard {
+        &self.open_by_shard
     }
 
     /// Takes a request off the books.
     fn close(&mut self, id: RequestId) -> Option<Open<W>> {
         let open = self.requests.remove(&id)?;
         self.guard.settle(id);
-        if let Some(count) = self.open_at.get_mut(&open.shard) {
+        if let Some(count) = self.open_by_shard.get_mut(&open.shard) {
             *count -= 1;
             if *count == 0 {
-                self.open_at.remove(&open.shard);
+                self.open_by_shard.remove(&open.shard);
             }
         }
         Some(open)
@@ -367,7 +367,7 @@
             match deadline {
                 Deadline::Scheduler => self.events.push(Event::Timer),
                 Deadline::Attempt(tag) => self.give_up_attempt(now, tag, Ending::TimedOut, effects),
-                Deadline::Idle(link) => match self.pool.stale_at(link) {
+                Deadline::Idle(link) => match self.pool.idle_expires_at(link) {
                     Some(at) if at > now => self.deadlines.insert(at, Deadline::Idle(link)),
                     Some(_) => {
                         self.pool.remove(now, link, false);
@@ -376,7 +376,7 @@
                     None => {}
                 },
                 Deadline::Whole(link) => {
-                    if self.pool.is_stuck(now, link) {
+                    if self.pool.is_stalled(now, link) {
                         self.break_link(now, link, Ending::Reset, effects);
                     }
                 }
@@ -401,10 +401,10 @@
 
     fn input(&mut self, now: Time, input: Input<W>, effects: &mut Vec<Effect<W>>) {
         match input {
-            Input::Ask(ask) => {
+            Input::Request(ask) => {
                 let Arrival { id, class, due, shard, .. } = ask.arrival;
                 // One whose time is not known before all of its body has come is not late before.
-                let due = if W::flows(&ask.request) { Time::MAX } else { due };
+                let due = if W::streams_body(&ask.request) { Time::MAX } else { due };
                 if !self.guard.admit(id, due, self.repeats(class), !ask.of_client) {
                     tracing::debug!(id, reason = "its client has gone", "not taken");
                     return;
@@ -412,13 +412,13 @@
                 let open = Open { request: ask.request, back: ask.back, tries: 0, last: None, shard };
                 self.close(ask.arrival.id);
                 self.requests.insert(ask.arrival.id, open);
-                *self.open_at.entry(shard).or_default() += 1;
+                *self.open_by_shard.entry(shard).or_default() += 1;
                 self.counts.taken += 1;
                 let Arrival { id, class, plan, shard, units, due, .. } = &ask.arrival;
                 tracing::debug!(id, class, plan, shard, units, left = due - now, "taken");
                 self.events.push(Event::Request(ask.arrival));
             }
-            Input::Gone(id) => {
+            Input::ClientGone(id) => {
                 if self.close(id).is_some() {
                     self.counts.gone += 1;
                     // What has not begun is withdrawn whether or not the settings allow to cancel: nobody will know of it.
@@ -427,26 +427,26 @@
                     self.events.push(Event::ClientGone(id));
                 }
             }
-            Input::Ended(link, tag, end) => {
+            Input::AttemptEnded(link, tag, end) => {
                 if let Some(at) = self.pool.answered(now, link) {
                     self.deadlines.insert(at, Deadline::Idle(link));
                 }
                 self.ended(now, tag, end);
             }
-            Input::Begun(link, tag, end) => {
+            Input::ReplyBegun(link, tag, end) => {
                 let until = self.attempts.get(&tag).map_or(now, |attempt| attempt.until);
-                self.pool.set_flowing(link, Some(until));
+                self.pool.set_streaming(link, Some(until));
                 self.ended(now, tag, end);
             }
-            Input::Free(link) => {
-                self.pool.set_flowing(link, None);
+            Input::ReplyFinished(link) => {
+                self.pool.set_streaming(link, None);
                 if let Some(at) = self.pool.answered(now, link) {
                     self.deadlines.insert(at, Deadline::Idle(link));
                 }
             }
-            Input::Whole(id, due) => self.retime(now, id, due, true),
-            Input::LinkUp(link) => self.pool.up(link),
-            Input::Partial(link, patience) => {
+            Input::BodyComplete(id, due) => self.retime(now, id, due, true),
+            Input::LinkUp(link) => self.pool.note_up(link),
+            Input::PartialReply(link, patience) => {
                 let until = patience.map(|patience| self.rest_of_reply_by(now, link, patience));
                 self.pool.set_partial(link, until);
                 if let Some(until) = until {
@@ -454,11 +454,11 @@
                 }
             }
             Input::LinkDown(link, down) => {
-                self.pool.remove(now, link, down == Down::Never);
+                self.pool.remove(now, link, down == LinkEnd::Never);
                 match down {
-                    Down::Here => self.pool.spent(now),
-                    Down::Repeated => self.pool.note_repeated_answer(now),
-                    Down::Ended | Down::Never => {}
+                    LinkEnd::Here => self.pool.note_open_failed(now),
+                    LinkEnd::Repeated => self.pool.note_repeated_answer(now),
+                    LinkEnd::Ended | LinkEnd::Never => {}
                 }
             }
             Input::Suspended(suspended) => {
@@ -496,24 +496,24 @@
             }
             Input::Probed(node, ending, util) => self.events.push(Event::Probed(node, ending, util)),
             Input::Settings(settings, terms) => {
-                self.pool.retune(terms);
+                self.pool.set_link_settings(terms);
                 self.events.push(Event::Settings(settings));
             }
-            Input::Links(most) => {
-                for link in self.pool.bound(most.unwrap_or(self.pool.len() + FEW_LINKS)) {
+            Input::LinkLimit(most) => {
+                for link in self.pool.set_link_limit(most.unwrap_or(self.pool.len() + SUPERSEDED_LINKS)) {
                     self.pool.remove(now, link, false);
                     effects.push(Effect::Close(link));
                 }
             }
             Input::Part(part) => self.events.push(Event::LimitShare(part)),
-            Input::Reached(waiting) => self.reached.push(waiting),
+            Input::Barrier(waiting) => self.reached.push(waiting),
         }
     }
 
     /// Until when the next part of a reply is waited for on a link whose node may be silent for this long. Once the client's time
     /// is over a value that is passed on must not stand still for longer than a short one may.
     fn rest_of_reply_by(&self, now: Time, link: LinkId, patience: Time) -> Time {
-        let end = self.pool.flows_until(link).map_or(Time::MAX, |due| due.max(now) + LATE_REPLY_REST);
+        let end = self.pool.streams_until(link).map_or(Time::MAX, |due| due.max(now) + LATE_REPLY_REST);
         end.min(now + patience)
     }
 
@@ -536,7 +536,7 @@
     }
 
     /// Settles an attempt. What a link reports of one that is settled already is dropped.
-    fn ended(&mut self, now: Time, tag: Tag, end: End<W::Reply>) {
+    fn ended(&mut self, now: Time, tag: AttemptId, end: AttemptEnd<W::Reply>) {
         let Some(attempt) = self.attempts.remove(&tag) else { return };
         self.leave_link(attempt.link, tag);
         self.deadlines.remove(attempt.until, Deadline::Attempt(tag));
@@ -547,8 +547,8 @@
         tracing::debug!(id, number, node = attempt.node, link, ending = ?end.ending, waited, "attempt");
         if let Some(open) = self.requests.get_mut(&id) {
             open.last = Some(end.ending);
-            if W::is_spent(&open.request) {
-                debug_assert!(W::flows(&open.request));
+            if W::is_body_consumed(&open.request) {
+                debug_assert!(W::streams_body(&open.request));
                 self.events.push(Event::BodyProgress(id, attempt.until, true));
             }
         }
@@ -577,13 +577,13 @@
     /// it and nobody waits for the request any more, since they would be broken for nothing. Where the
     /// request goes on, the link goes in any case: a further attempt beside one on an open connection would
     /// be a second copy.
-    fn give_up_attempt(&mut self, now: Time, tag: Tag, ending: Ending, effects: &mut Vec<Effect<W>>) {
+    fn give_up_attempt(&mut self, now: Time, tag: AttemptId, ending: Ending, effects: &mut Vec<Effect<W>>) {
         let Some(attempt) = self.attempts.get(&tag) else { return };
         let link = attempt.link;
-        self.ended(now, tag, End::bare(ending));
+        self.ended(now, tag, AttemptEnd::without_reply(ending));
         let Some(link) = link else { return };
         effects.push(Effect::Withdraw(link, tag));
-        if self.pool.flows_until(link).is_some() {
+        if self.pool.streams_until(link).is_some() {
             // A reply before it is still passed on. Its request has no further attempt: its time is over.
             return;
         }
@@ -599,13 +599,13 @@
         if self.pool.remove(now, link, false) {
             effects.push(Effect::Close(link));
             for tag in self.on_link.remove(&link).unwrap_or_default() {
-                self.ended(now, tag, End::bare(ending));
+                self.ended(now, tag, AttemptEnd::without_reply(ending));
             }
         }
     }
 
     /// An attempt is on its link no longer.
-    fn leave_link(&mut self, link: Option<LinkId>, tag: Tag) {
+    fn leave_link(&mut self, link: Option<LinkId>, tag: AttemptId) {
         let Some(link) = link else { return };
         let Some(tags) = self.on_link.get_mut(&link) else { return };
         tags.remove(&tag);
@@ -617,7 +617,7 @@
     fn act(&mut self, now: Time, action: Action, effects: &mut Vec<Effect<W>>) {
         match action {
             Action::Send { id, node, begin_by, until } => {
-                self.send(now, id, node, Span { begin_by, until }, effects)
+                self.send(now, id, node, AttemptTimes { begin_by, until }, effects)
             }
             Action::Refuse(id, after, reason) => self.answer(id, reason, Answer::Refused(after)),
             Action::Fail(id, reason) => self.answer(id, reason, Answer::Failed),
@@ -635,7 +635,14 @@
         }
     }
 
-    fn send(&mut self, now: Time, id: RequestId, node: NodeId, span: Span, effects: &mut Vec<Effect<W>>) {
+    fn send(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        node: NodeId,
+        span: AttemptTimes,
+        effects: &mut Vec<Effect<W>>,
+    ) {
         let until = span.until;
         let Some(open) = self.requests.get_mut(&id) else { return };
         let tag = (id, open.tries);
@@ -645,11 +652,11 @@
         }
         self.counts.sent += 1;
         let request = open.request.clone();
-        let lane = W::lane(&request);
+        let lane = W::channel_kind(&request);
         let mut attempt = Attempt { node, link: None, sent: now, until };
         let Some(address) = self.addresses.get(&node) else {
             self.attempts.insert(tag, attempt);
-            self.ended(now, tag, End::bare(Ending::Unreachable));
+            self.ended(now, tag, AttemptEnd::without_reply(Ending::Unreachable));
             return;
         };
         let pick = self.pool.pick(now, node, lane, W::SHARING);
@@ -666,7 +673,7 @@
             Pick::Full => {
                 // All that this process may open are in use: that says nothing about the node.
                 self.attempts.insert(tag, attempt);
-                self.ended(now, tag, End::bare(Ending::NoLink));
+                self.ended(now, tag, AttemptEnd::without_reply(Ending::NoLink));
                 return;
             }
         };
@@ -674,7 +681,7 @@
         self.attempts.insert(tag, attempt);
         self.on_link.entry(link).or_default().insert(tag);
         self.deadlines.insert(until, Deadline::Attempt(tag));
-        let flows = W::flows(&request);
+        let flows = W::streams_body(&request);
         effects.push(Effect::Send(link, tag, span, request));
         if flows {
             self.retime(now, id, until.max(now + BODY), false);
@@ -685,7 +692,7 @@
     /// node counts from the body's last byte: only then does the node begin.
     fn retime(&mut self, now: Time, id: RequestId, due: Time, whole: bool) {
         let Some(open) = self.requests.get(&id) else { return };
-        self.events.push(Event::BodyProgress(id, due, W::is_spent(&open.request)));
+        self.events.push(Event::BodyProgress(id, due, W::is_body_consumed(&open.request)));
         for (tag, attempt) in self.attempts.range_mut((id, 0)..=(id, u32::MAX)) {
             self.deadlines.remove(attempt.until, Deadline::Attempt(*tag));
             self.deadlines.insert(due, Deadline::Attempt(*tag));
--- a/src/state/pool.rs
+++ b/src/state/pool.rs
@@ -6,7 +6,7 @@
 /// Number of a link, never used twice.
 pub type LinkId = u64;
 /// What links of one node are told apart by, where a connection serves only some of its requests.
-pub type Lane = u32;
+pub type ChannelKind = u32;
 
 /// What the links are bound by.
 #[derive(Debug, Clone, Copy)]
@@ -16,12 +16,12 @@
     /// Links to one node, which holds only so many connections for all brokers.
     pub links_per_node: usize,
     /// What the settings say.
-    pub terms: LinkTerms,
+    pub terms: LinkSettings,
 }
 
 /// What settings say of links.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LinkTerms {
+pub struct LinkSettings {
     /// Attempts on one link at once.
     pub multiplex: usize,
     /// An idle link is let go after this: well before the node closes it, since a request that crosses
@@ -30,13 +30,13 @@
 }
 
 /// Links that a process may still open which another one has superseded: those that it has may break.
-pub const FEW_LINKS: usize = 16;
+pub const SUPERSEDED_LINKS: usize = 16;
 
 /// A link as the pool knows it.
 #[derive(Debug)]
 struct Link {
     node: NodeId,
-    lane: Lane,
+    lane: ChannelKind,
     /// Attempts whose answers are still to come on it, withdrawn ones too.
     out: usize,
     idle_since: Option<Time>,
@@ -44,7 +44,7 @@
     partial: Option<Time>,
     /// A reply is passed on while it comes, and its client waits so long: no request is put behind it, which would wait for that
     /// client.
-    flows_until: Option<Time>,
+    streams_until: Option<Time>,
     up: bool,
 }
 
@@ -66,9 +66,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sharing {
     /// Several attempts: answers name what they answer.
-    Answers,
+    Multiplexed,
     /// One attempt.
-    Nothing,
+    Exclusive,
 }
 
 /// What remains of a node's connection cap once it has shown itself.
@@ -101,7 +101,7 @@
 pub struct Pool {
     limits: PoolLimits,
     links: BTreeMap<LinkId, Link>,
-    by_node: BTreeMap<(NodeId, Lane), Vec<LinkId>>,
+    by_node: BTreeMap<(NodeId, ChannelKind), Vec<LinkId>>,
     caps: BTreeMap<NodeId, Cap>,
     /// Idle links, those unused for longest first.
     idle: BTreeSet<(Time, LinkId)>,
@@ -135,7 +135,7 @@
     /// that what a busy spell opened ages out.
     /// Only where answers name what they answer may attempts share a link: else the second answer to one would be taken
     /// for the answer to the next.
-    pub fn pick(&mut self, now: Time, node: NodeId, lane: Lane, sharing: Sharing) -> Pick {
+    pub fn pick(&mut self, now: Time, node: NodeId, lane: ChannelKind, sharing: Sharing) -> Pick {
         let repeats = self.repeats_until.is_some_and(|until| until > now);
         let (rest, least_rest) =
             if repeats { (REST_AMONG_REPEATS, REST_AMONG_REPEATS) } else { (self.rest, LEAST_REST) };
@@ -162,7 +162,7 @@
                     out: 1,
                     idle_since: None,
                     partial: None,
-                    flows_until: None,
+                    streams_until: None,
                     up: false,
                 };
                 links.insert(id, link);
@@ -172,8 +172,8 @@
             }
         }
         let fits = |id: &LinkId| match sharing {
-            Sharing::Answers => links[id].flows_until.is_none(),
-            Sharing::Nothing => quiet(&links[id]).is_some_and(|since| now - since >= least_rest),
+            Sharing::Multiplexed => links[id].streams_until.is_none(),
+            Sharing::Exclusive => quiet(&links[id]).is_some_and(|since| now - since >= least_rest),
         };
         let least =
             || ids.iter().copied().filter(fits).min_by_key(|id| (links[id].out, links[id].idle_since));
@@ -211,20 +211,20 @@
     }
 
     /// When an idle link will have been so for its whole time.
-    pub fn stale_at(&self, id: LinkId) -> Option<Time> {
+    pub fn idle_expires_at(&self, id: LinkId) -> Option<Time> {
         self.links.get(&id)?.idle_since.map(|since| since + self.limits.terms.idle)
     }
 
     /// Notes that a reply is passed on while it comes, and how long its client waits, or that none is.
-    pub fn set_flowing(&mut self, id: LinkId, until: Option<Time>) {
+    pub fn set_streaming(&mut self, id: LinkId, until: Option<Time>) {
         if let Some(link) = self.links.get_mut(&id) {
-            link.flows_until = until;
+            link.streams_until = until;
         }
     }
 
     /// How long the client waits of a reply that is passed on while it comes, if one is.
-    pub fn flows_until(&self, id: LinkId) -> Option<Time> {
-        self.links.get(&id).and_then(|l| l.flows_until)
+    pub fn streams_until(&self, id: LinkId) -> Option<Time> {
+        self.links.get(&id).and_then(|l| l.streams_until)
     }
 
     /// Notes until when the next part of a reply is waited for, or that none is.
@@ -235,12 +235,12 @@
     }
 
     /// Whether a link is in the middle of a reply whose next part has been waited for in vain.
-    pub fn is_stuck(&self, now: Time, id: LinkId) -> bool {
+    pub fn is_stalled(&self, now: Time, id: LinkId) -> bool {
         self.links.get(&id).and_then(|l| l.partial).is_some_and(|until| until <= now)
     }
 
     /// Notes that a link's connection is there.
-    pub fn up(&mut self, id: LinkId) {
+    pub fn note_up(&mut self, id: LinkId) {
         if let Some(link) = self.links.get_mut(&id) {
             link.up = true;
         }
@@ -267,7 +267,7 @@
     }
 
     /// This machine could not open a link: it can hold no more than there are for a while.
-    pub fn spent(&mut self, now: Time) {
+    pub fn note_open_failed(&mut self, now: Time) {
         self.own_cap = Some(Cap { links: self.links.len().max(1), until: now + OWN_CAP_MEMORY });
     }
 
@@ -287,7 +287,7 @@
     }
 
     fn of(&self, node: NodeId, fits: impl Fn(&Link) -> bool) -> Vec<LinkId> {
-        let lanes = self.by_node.range((node, Lane::MIN)..=(node, Lane::MAX));
+        let lanes = self.by_node.range((node, ChannelKind::MIN)..=(node, ChannelKind::MAX));
         lanes.flat_map(|(_, ids)| ids).copied().filter(|id| fits(&self.links[id])).collect()
     }
 
@@ -302,12 +302,12 @@
     }
 
     /// Takes new terms.
-    pub fn retune(&mut self, terms: LinkTerms) {
+    pub fn set_link_settings(&mut self, terms: LinkSettings) {
         self.limits.terms = terms;
     }
 
     /// Sets how many links there may be. Gives the idle ones that are too many, those unused for longest first.
-    pub fn bound(&mut self, links: usize) -> Vec<LinkId> {
+    pub fn set_link_limit(&mut self, links: usize) -> Vec<LinkId> {
         self.limits.links = links;
         let over = self.links.len().saturating_sub(links);
         self.idle.iter().take(over).map(|(_, id)| *id).collect()
--- a/src/state/upkeep.rs
+++ b/src/state/upkeep.rs
@@ -1,7 +1,7 @@
 //! What staff have taken out for maintenance, laid over every list of nodes. The planner is told of such a node as
 //! draining, whatever the list says, so the scheduler's rule on drains is all that is needed.
 
-use super::planner::Member;
+use super::planner::ListedNode;
 use crate::interface::{ListKind, NodeEntry, NodeId, NodeState, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,7 +19,7 @@
     /// Its name.
     pub name: String,
     /// What the planner is told.
-    pub member: Member,
+    pub member: ListedNode,
 }
 
 /// The last call about a node.
@@ -69,7 +69,7 @@
 
 impl Upkeep {
     /// Takes a list and gives it as the planner is to be told.
-    pub fn list(&mut self, now: Time, kind: ListKind, list: Vec<Listed>) -> Vec<Member> {
+    pub fn list(&mut self, now: Time, kind: ListKind, list: Vec<Listed>) -> Vec<ListedNode> {
         if matches!(kind, ListKind::Full | ListKind::Saved) {
             self.nodes.clear();
         }
@@ -100,7 +100,7 @@
         }
     }
 
-    fn laid_over(&self, now: Time, listed: &Listed) -> Member {
+    fn laid_over(&self, now: Time, listed: &Listed) -> ListedNode {
         let mut member = listed.member.clone();
         let entry = &mut member.entry;
         if entry.state == NodeState::Up && (self.is_out(&listed.name) || self.is_left(now, entry)) {
@@ -124,7 +124,7 @@
     }
 
     /// Takes what is out at all brokers. Gives what the planner is to be told: of those whose names came or went.
-    pub fn share(&mut self, now: Time, shared: BTreeSet<String>) -> Vec<Member> {
+    pub fn share(&mut self, now: Time, shared: BTreeSet<String>) -> Vec<ListedNode> {
         let before = std::mem::replace(&mut self.shared, shared);
         let moved: Vec<&String> = before.symmetric_difference(&self.shared).collect();
         let numbers = moved.into_iter().filter_map(|name| self.names.get(name)).map(|(node, _)| *node);
@@ -149,7 +149,7 @@
 
     /// Takes a list and gives only what has changed by it, as the planner is to be told; of a whole list those that are
     /// missing, too, first of all. What it costs beside that grows with the list, not with the square of it.
-    pub fn changes(&mut self, now: Time, kind: ListKind, list: Vec<Listed>) -> Vec<Member> {
+    pub fn changes(&mut self, now: Time, kind: ListKind, list: Vec<Listed>) -> Vec<ListedNode> {
         let mut told = Vec::new();
         if kind != ListKind::Changes {
             let named: BTreeSet<NodeId> = list.iter().map(|l| l.member.entry.node).collect();
@@ -177,7 +177,7 @@
 
     /// Takes a node out, or puts it back. Gives what the planner is to be told: nothing if it is so already, or if
     /// the list does not name the node now.
-    pub fn call(&mut self, now: Time, name: &str, out: bool) -> Result<Vec<Member>, Refused> {
+    pub fn call(&mut self, now: Time, name: &str, out: bool) -> Result<Vec<ListedNode>, Refused> {
         let known = self.names.get(name).map(|(node, _)| *node);
         let node = known.or(self.bans.get(name).map(|ban| ban.node)).ok_or(Refused::NeverListed)?;
         if out && !self.is_out(name) && self.bans.values().filter(|ban| ban.out).count() >= MOST_OUT {
@@ -188,7 +188,7 @@
     }
 
     /// Takes the calls that another process has had: of two about one node the later holds.
-    pub fn merge(&mut self, now: Time, bans: Vec<Ban>) -> Vec<Member> {
+    pub fn merge(&mut self, now: Time, bans: Vec<Ban>) -> Vec<ListedNode> {
         let later = |ban: &Ban, own: &BTreeMap<String, Ban>| own.get(&ban.name).is_none_or(|o| ban.at > o.at);
         let mut told = Vec::new();
         for ban in bans.into_iter().take(2 * MOST_OUT) {
@@ -199,7 +199,7 @@
         told
     }
 
-    fn take(&mut self, now: Time, ban: Ban) -> Vec<Member> {
+    fn take(&mut self, now: Time, ban: Ban) -> Vec<ListedNode> {
         let (before, node) = (self.bans.get(&ban.name).is_some_and(|b| b.out), ban.node);
         if ban.out == before && before {
             return Vec::new();
@@ -215,7 +215,7 @@
 
     /// Leaves nodes that started less than `cold` ago to the process that takes over, or no longer. Gives what the
     /// planner is to be told.
-    pub fn leave_cold(&mut self, now: Time, cold: Option<Time>) -> Vec<Member> {
+    pub fn leave_cold(&mut self, now: Time, cold: Option<Time>) -> Vec<ListedNode> {
         if self.left_cold == cold {
             return Vec::new();
         }
@@ -260,7 +260,7 @@
 
     fn listed(name: &str, node: NodeId, state: NodeState, started: Option<Time>) -> Listed {
         let entry = NodeEntry { node, zone: 0, shard: node, state, started, size: 0 };
-        Listed { name: name.into(), member: Member { entry, address: "an address".into() } }
+        Listed { name: name.into(), member: ListedNode { entry, address: "an address".into() } }
     }
 
     fn up(name: &str, node: NodeId) -> Listed {
@@ -298,7 +298,7 @@
         assert_eq!(states(&told), [(1, NodeState::Draining)], "a ban holds over a new start");
     }
 
-    fn states(told: &[Member]) -> Vec<(NodeId, NodeState)> {
+    fn states(told: &[ListedNode]) -> Vec<(NodeId, NodeState)> {
         told.iter().map(|m| (m.entry.node, m.entry.state)).collect()
     }
 
--- a/src/wire/admin/desk.rs
+++ b/src/wire/admin/desk.rs
@@ -2,8 +2,8 @@
 
 use super::{Call, Wrong};
 use crate::interface::{ListKind, Time};
-use crate::state::phase::{Move, Phase};
-use crate::state::planner::{Input, Member, Wire};
+use crate::state::phase::{Phase, Transition};
+use crate::state::planner::{Input, ListedNode, Wire};
 use crate::state::upkeep::{Refused, Upkeep};
 use crate::wire::clock::Clock;
 use std::cell::RefCell;
@@ -43,7 +43,7 @@
 }
 
 /// Moves the broker's phase at a time; an error if there is no such way.
-pub fn step(phase: &watch::Sender<Phase>, what: Move, at: Time) -> Result<(), String> {
+pub fn step(phase: &watch::Sender<Phase>, what: Transition, at: Time) -> Result<(), String> {
     let before = *phase.borrow();
     let after = before.after(what, at).map_err(|e| e.to_string())?;
     if after != before {
@@ -61,10 +61,12 @@
             Ok(Call::Health) => self.health(),
             Ok(Call::Node { name, out }) => self.node(name, *out).await,
             Ok(Call::Leave) => {
-                step(&self.phase, Move::Leave, self.clock.now()).map(|()| "leaving".to_string())
+                step(&self.phase, Transition::Leave, self.clock.now()).map(|()| "leaving".to_string())
             }
             Ok(Call::Members) => self.members(),
-            Ok(Call::Join) => step(&self.phase, Move::Join, self.clock.now()).map(|()| "serving".to_string()),
+            Ok(Call::Join) => {
+                step(&self.phase, Transition::Join, self.clock.now()).map(|()| "serving".to_string())
+            }
         };
         match outcome {
             Ok(text) => format!("200 {text}"),
@@ -83,7 +85,7 @@
     fn health(&self) -> Result<String, String> {
         let phase = *self.phase.borrow();
         match phase {
-            _ if !phase.serves() => Err(format!("{phase:?}").to_ascii_lowercase()),
+            _ if !phase.is_healthy() => Err(format!("{phase:?}").to_ascii_lowercase()),
             _ if !self.upkeep.borrow().is_usable() => Err("no usable list of disk nodes".to_string()),
             _ => Ok("serving".to_string()),
         }
@@ -121,11 +123,11 @@
 }
 
 /// Tells the planner of nodes; done when the turn that took it is over.
-pub fn tell<W: Wire>(planner: &UnboundedSender<Input<W>>, told: Vec<Member>) -> oneshot::Receiver<()> {
+pub fn tell<W: Wire>(planner: &UnboundedSender<Input<W>>, told: Vec<ListedNode>) -> oneshot::Receiver<()> {
     let (reached, done) = oneshot::channel();
     if !told.is_empty() {
         let _ = planner.send(Input::Nodes(ListKind::Changes, told));
     }
-    let _ = planner.send(Input::Reached(reached));
+    let _ = planner.send(Input::Barrier(reached));
     done
 }
--- a/src/wire/discovery.rs
+++ b/src/wire/discovery.rs
@@ -2,7 +2,7 @@
 
 use super::link::Broken;
 use crate::interface::{ListKind, NodeEntry, NodeId, NodeState, ShardId, Time};
-use crate::state::planner::Member;
+use crate::state::planner::ListedNode;
 use crate::state::upkeep::Listed;
 use bytes::BytesMut;
 use serde::Deserialize;
@@ -133,7 +133,7 @@
                 started,
                 size: thousandths(entry.size),
             };
-            Listed { name: entry.id, member: Member { entry: entry_of, address: entry.host_port } }
+            Listed { name: entry.id, member: ListedNode { entry: entry_of, address: entry.host_port } }
         };
         let complete = self.complete;
         let members: Vec<Listed> = self.members.into_iter().map(member).collect();
--- a/src/wire/link.rs
+++ b/src/wire/link.rs
@@ -3,7 +3,7 @@
 use super::outbox::Outbox;
 use crate::interface::{Ending, Time};
 use crate::state::guard::{Denied, Guard};
-use crate::state::planner::{Down, End, Input, Span, Tag, Wire};
+use crate::state::planner::{AttemptEnd, AttemptId, AttemptTimes, Input, LinkEnd, Wire};
 use crate::state::pool::LinkId;
 use crate::state::room::{Part, Room};
 use crate::wire::clock::Pulse;
@@ -67,18 +67,18 @@
 #[derive(Debug, PartialEq)]
 pub enum Flow<R> {
     /// It has begun, and is the answer.
-    Begun(Tag, End<R>),
+    Begun(AttemptId, AttemptEnd<R>),
     /// It has come to its end.
     Free,
 }
 
 /// An attempt that ended, and how.
-pub type Ended<R> = (Tag, End<R>);
+pub type Ended<R> = (AttemptId, AttemptEnd<R>);
 
 /// The client's side of a protocol, spoken with a node. Sans-I/O.
 pub trait Exchange<W: Wire>: 'static {
     /// Takes a request to be sent; `left` is how long its answer is waited for.
-    fn send(&mut self, tag: Tag, left: Time, request: W::Request);
+    fn send(&mut self, tag: AttemptId, left: Time, request: W::Request);
     /// What is to be written.
     fn outbox(&mut self) -> &mut Outbox;
     /// Takes what was read and consumes what is whole of it.
@@ -113,7 +113,7 @@
         None
     }
     /// Takes back every request of which no byte has been written, and names it.
-    fn take_back(&mut self) -> Vec<Tag>;
+    fn take_back(&mut self) -> Vec<AttemptId>;
     /// The connection is over: how everything still out has ended.
     fn lost(&mut self) -> Vec<Ended<W::Reply>>;
 }
@@ -121,9 +121,9 @@
 /// An order to a link.
 pub enum Order<W: Wire> {
     /// Send an attempt, within these times.
-    Send(Tag, Span, W::Request),
+    Send(AttemptId, AttemptTimes, W::Request),
     /// Nobody wants an attempt any more: if it has not begun, it is to be given back.
-    Withdraw(Tag),
+    Withdraw(AttemptId),
     /// The node takes nothing more: what has not begun is to be given back.
     Bar,
 }
@@ -191,7 +191,7 @@
 const LEAST_TOLD: Time = 1_000;
 
 /// An attempt that waits for its link.
-pub type Waiting<W> = (Tag, Span, <W as Wire>::Request);
+pub type Waiting<W> = (AttemptId, AttemptTimes, <W as Wire>::Request);
 
 impl<W: Wire, X: Exchange<W>> LinkTask<W, X> {
     /// Connects, carries attempts, and reports how each ended, until the connection breaks or the planner
@@ -216,8 +216,8 @@
                 let Some(reason) = self.carry(stream).await else { return };
                 tracing::debug!(link = self.id, reason, "link ended");
                 match reason == UNASKED.0 {
-                    true => Down::Repeated,
-                    false => Down::Ended,
+                    true => LinkEnd::Repeated,
+                    false => LinkEnd::Ended,
                 }
             }
         };
@@ -227,30 +227,30 @@
             self.take(order);
         }
         let never = match down {
-            Down::Never => Ending::Unreachable,
-            Down::Here => Ending::NoLink,
-            Down::Ended | Down::Repeated => Ending::NotSent,
+            LinkEnd::Never => Ending::Unreachable,
+            LinkEnd::Here => Ending::NoLink,
+            LinkEnd::Ended | LinkEnd::Repeated => Ending::NotSent,
         };
         for (tag, ..) in std::mem::take(&mut self.queue) {
-            let _ = self.planner.send(Input::Ended(self.id, tag, End::bare(never)));
+            let _ = self.planner.send(Input::AttemptEnded(self.id, tag, AttemptEnd::without_reply(never)));
         }
         for (tag, end) in self.exchange.lost() {
-            let _ = self.planner.send(Input::Ended(self.id, tag, end));
+            let _ = self.planner.send(Input::AttemptEnded(self.id, tag, end));
         }
         let _ = self.planner.send(Input::LinkDown(self.id, down));
     }
 
     /// The connection; nothing when the planner lets go before it is up.
-    async fn connect(&mut self) -> Option<Result<TcpStream, (Down, String)>> {
+    async fn connect(&mut self) -> Option<Result<TcpStream, (LinkEnd, String)>> {
         let address = self.address.clone();
         let connect = tokio::time::timeout(self.connect_timeout, TcpStream::connect(address));
         tokio::pin!(connect);
         loop {
             tokio::select! {
                 connected = &mut connect => return Some(match connected {
-                    Err(_) => Err((Down::Never, "timed out".to_string())),
-                    Ok(Err(e)) if not_up(&e) == NotUp::Here => Err((Down::Here, e.to_string())),
-                    Ok(Err(e)) => Err((Down::Never, e.to_string())),
+                    Err(_) => Err((LinkEnd::Never, "timed out".to_string())),
+                    Ok(Err(e)) if not_up(&e) == NotUp::Here => Err((LinkEnd::Here, e.to_string())),
+                    Ok(Err(e)) => Err((LinkEnd::Never, e.to_string())),
                     Ok(Ok(stream)) => {
                         let _ = stream.set_nodelay(true);
                         Ok(stream)
@@ -277,10 +277,11 @@
         }
     }
 
-    fn never_sent(&self, tag: Tag, reason: NotSent) {
+    fn never_sent(&self, tag: AttemptId, reason: NotSent) {
         let (id, attempt) = tag;
         tracing::debug!(link = self.id, id, attempt, address = self.address, ?reason, "given back");
-        let _ = self.planner.send(Input::Ended(self.id, tag, End::bare(Ending::NotSent)));
+        let _ =
+            self.planner.send(Input::AttemptEnded(self.id, tag, AttemptEnd::without_reply(Ending::NotSent)));
     }
 
     /// Gives back what has not begun, as never sent.
@@ -399,11 +400,11 @@
         loop {
             let result = self.exchange.receive(&mut unread.read, &mut ended);
             for (tag, end) in ended.drain(..) {
-                let _ = self.planner.send(Input::Ended(self.id, tag, end));
+                let _ = self.planner.send(Input::AttemptEnded(self.id, tag, end));
             }
             match self.exchange.flow() {
-                Some(Flow::Begun(tag, end)) => drop(self.planner.send(Input::Begun(self.id, tag, end))),
-                Some(Flow::Free) => drop(self.planner.send(Input::Free(self.id))),
+                Some(Flow::Begun(tag, end)) => drop(self.planner.send(Input::ReplyBegun(self.id, tag, end))),
+                Some(Flow::Free) => drop(self.planner.send(Input::ReplyFinished(self.id))),
                 None => {
                     if let Err(e) = result {
                         tracing::warn!(address = self.address, "node broke the protocol: {e}");
@@ -419,7 +420,7 @@
         // Of a short reply each part is told; of a long one, now and then.
         if told != patience || (patience.is_some() && !(lately && patience > Some(WHOLE))) {
             unread.told = patience.map(|patience| (patience, now));
-            let _ = self.planner.send(Input::Partial(self.id, patience));
+            let _ = self.planner.send(Input::PartialReply(self.id, patience));
         }
         if unread.read.is_empty() {
             // An idle link must not pin the buffer of its last reply.
--- a/src/wire/nbd.rs
+++ b/src/wire/nbd.rs
@@ -198,7 +198,7 @@
     type Request = Request;
     type Reply = Vec<Part>;
 
-    fn lane(request: &Request) -> u32 {
+    fn channel_kind(request: &Request) -> u32 {
         request.export
     }
 }
--- a/src/wire/nbd/client.rs
+++ b/src/wire/nbd/client.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::interface::{Ending, Time};
-use crate::state::planner::{End, Tag};
+use crate::state::planner::{AttemptEnd, AttemptId};
 use crate::wire::link::{broken_at, Ended, Exchange};
 use crate::wire::outbox::Outbox;
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
 
 /// A request that is out.
 struct Out {
-    tag: Tag,
+    tag: AttemptId,
     /// Positions of its first byte and behind its last.
     start: u64,
     end: u64,
@@ -42,7 +42,7 @@
     size: u64,
     outbox: Outbox,
     /// Requests that came before the handshake was done.
-    waiting: Vec<(Tag, Request)>,
+    waiting: Vec<(AttemptId, Request)>,
     out: BTreeMap<u64, Out>,
     next: u64,
 }
@@ -158,7 +158,7 @@
         }
     }
 
-    fn write(&mut self, tag: Tag, request: Request) {
+    fn write(&mut self, tag: AttemptId, request: Request) {
         let cookie = self.next;
         self.next += 1;
         let (command, expects) = match request.operation {
@@ -278,16 +278,16 @@
 /// The one outcome of a reply that is whole.
 fn finish(out: Out) -> Ended<Vec<Part>> {
     let end = match out.error {
-        Some(ending) => End::bare(ending),
+        Some(ending) => AttemptEnd::without_reply(ending),
         // Less came than was asked for: nothing to serve a client with.
-        None if out.got != out.expects => End::bare(Ending::Error),
-        None => End { reply: Some(out.parts), ..End::bare(Ending::Served) },
+        None if out.got != out.expects => AttemptEnd::without_reply(Ending::Error),
+        None => AttemptEnd { reply: Some(out.parts), ..AttemptEnd::without_reply(Ending::Served) },
     };
     (out.tag, end)
 }
 
 impl Exchange<Nbd> for Node {
-    fn send(&mut self, tag: Tag, _: Time, request: Request) {
+    fn send(&mut self, tag: AttemptId, _: Time, request: Request) {
         match self.phase {
             Phase::Ready => self.write(tag, request),
             _ => self.waiting.push((tag, request)),
@@ -307,8 +307,8 @@
         Ok(())
     }
 
-    fn take_back(&mut self) -> Vec<Tag> {
-        let waiting: Vec<Tag> = self.waiting.drain(..).map(|(tag, _)| tag).collect();
+    fn take_back(&mut self) -> Vec<AttemptId> {
+        let waiting: Vec<AttemptId> = self.waiting.drain(..).map(|(tag, _)| tag).collect();
         // Cookies are in the order of the writes.
         let begun = |out: &Out| self.outbox.has_begun(out.start);
         let first = self.out.iter().find(|(_, out)| !begun(out)).map_or(u64::MAX, |(cookie, _)| *cookie);
@@ -321,9 +321,9 @@
 
     fn lost(&mut self) -> Vec<Ended<Vec<Part>>> {
         let waiting = std::mem::take(&mut self.waiting).into_iter();
-        let never = waiting.map(|(tag, _)| (tag, End::bare(Ending::Unreachable)));
+        let never = waiting.map(|(tag, _)| (tag, AttemptEnd::without_reply(Ending::Unreachable)));
         let out = std::mem::take(&mut self.out).into_values();
         let outbox = &self.outbox;
-        never.chain(out.map(|o| (o.tag, End::bare(broken_at(outbox, o.end))))).collect()
+        never.chain(out.map(|o| (o.tag, AttemptEnd::without_reply(broken_at(outbox, o.end))))).collect()
     }
 }
--- a/src/wire/nbd/guard.rs
+++ b/src/wire/nbd/guard.rs
@@ -1,4 +1,4 @@
-//! The stage that keeps the promise of exports with sums: client's requests for them are taken here, and the
+//! The interceptor that keeps the promise of exports with sums: client's requests for them are taken here, and the
 //! planner is asked for what the keeper wants in their place. Requests for other exports pass through.
 
 use super::server::{Export, Exports, Kind};
@@ -7,9 +7,9 @@
 use crate::state::integrity::{
     sums, Effect, Event, Facts, Keeper, Op, Outcome, State, Task, TaskId, VolumeId, BLOCK,
 };
-use crate::state::planner::{Answer, Ask, Back, Input, Member, OpenAt};
+use crate::state::interceptor::Interceptor;
+use crate::state::planner::{Answer, AnswerSender, ClientRequest, Input, ListedNode, OpenByShard};
 use crate::state::scrub::{self, Found, Scrub, Sight};
-use crate::state::stage::Stage;
 use crate::wire::session::Numbers;
 use bytes::{Bytes, BytesMut};
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
     arrival: Arrival,
     request: Request,
     /// Where its answer goes; nowhere for reads of the scrubber.
-    back: Option<Back<Vec<Part>>>,
+    back: Option<AnswerSender<Vec<Part>>>,
     since: Time,
     /// What was read last for it.
     parts: Vec<Part>,
@@ -36,12 +36,12 @@
     Rest,
 }
 
-/// The stage.
+/// The interceptor.
 pub struct Guard {
     keeper: Keeper,
     exports: Exports,
     numbers: Numbers,
-    back: Back<Vec<Part>>,
+    back: AnswerSender<Vec<Part>>,
     answers: UnboundedReceiver<(RequestId, Answer<Vec<Part>>)>,
     held: BTreeMap<RequestId, Held>,
     /// Requests to the planner: ended by their answers, of which the planner owes one each, or when they are
@@ -93,7 +93,7 @@
     }
 
     /// Takes the nodes as they are now.
-    fn nodes(&mut self, members: &[Member]) {
+    fn nodes(&mut self, members: &[ListedNode]) {
         self.warm_from.clear();
         for entry in members.iter().map(|m| &m.entry).filter(|e| e.state == NodeState::Up) {
             let from = entry.started.map_or(Time::MIN, |started| started + self.cold);
@@ -103,7 +103,7 @@
     }
 
     /// Has the scrubber read what it may.
-    fn scrub(&mut self, now: Time, open: &OpenAt) {
+    fn scrub(&mut self, now: Time, open: &OpenByShard) {
         let exports = self.exports.borrow().clone();
         for (export, volume) in exports.0.iter().zip(0..) {
             let Some((export, (_, within))) = export.as_ref().and_then(|e| Some((e, e.scrub?))) else {
@@ -135,8 +135,8 @@
         }
     }
 
-    fn ask(&mut self, now: Time, ask: Ask<Nbd>) {
-        let Ask { arrival, request, back, .. } = ask;
+    fn ask(&mut self, now: Time, ask: ClientRequest<Nbd>) {
+        let ClientRequest { arrival, request, back, .. } = ask;
         let (id, volume, due) = (arrival.id, request.export, arrival.due);
         let first = request.offset / BLOCK;
         let op = match &request.operation {
@@ -162,7 +162,7 @@
                     Effect::Drop(task) => {
                         if let Some(id) = self.numbers_of.remove(&task) {
                             self.asked.remove(&id);
-                            on.push(Input::Gone(id));
+                            on.push(Input::ClientGone(id));
                         }
                     }
                     Effect::Served(id) => self.answer(now, id, Found::Sound, Answer::Served),
@@ -244,9 +244,12 @@
         self.asked.insert(id, (task, purpose));
         self.numbers_of.insert(task, id);
         match arrival {
-            Some(arrival) => {
-                on.push(Input::Ask(Ask { arrival, request, back: self.back.clone(), of_client: false }))
-            }
+            Some(arrival) => on.push(Input::Request(ClientRequest {
+                arrival,
+                request,
+                back: self.back.clone(),
+                of_client: false,
+            })),
             // Its export is gone: nobody can be asked.
             None => drop(self.back.send((id, Answer::Failed))),
         }
@@ -331,16 +334,16 @@
     all.freeze()
 }
 
-impl Stage<Nbd> for Guard {
+impl Interceptor<Nbd> for Guard {
     fn take(&mut self, now: Time, input: Input<Nbd>, on: &mut Vec<Input<Nbd>>) {
         match input {
-            Input::Ask(ask) if self.keeper.has(ask.request.export) => self.ask(now, ask),
+            Input::Request(ask) if self.keeper.has(ask.request.export) => self.ask(now, ask),
             // Its export had sums when the client asked.
-            Input::Ask(ask) if ask.request.describe.is_some() => {
+            Input::Request(ask) if ask.request.describe.is_some() => {
                 // A front that is gone needs no answer.
                 let _ = ask.back.send((ask.arrival.id, Answer::Failed));
             }
-            Input::Gone(id) if self.held.contains_key(&id) => {
+            Input::ClientGone(id) if self.held.contains_key(&id) => {
                 self.keeper.handle(now, Event::Gone(id), &mut self.effects);
             }
             Input::Nodes(_, ref members) => {
@@ -353,14 +356,14 @@
         self.carry_out(now, on);
     }
 
-    fn settle(&mut self, now: Time, on: &mut Vec<Input<Nbd>>) {
+    fn collect_answers(&mut self, now: Time, on: &mut Vec<Input<Nbd>>) {
         while let Ok((id, answer)) = self.answers.try_recv() {
             self.answered(now, id, answer);
         }
         self.carry_out(now, on);
     }
 
-    fn sweep(&mut self, now: Time, open: &OpenAt, on: &mut Vec<Input<Nbd>>) {
+    fn sweep(&mut self, now: Time, open: &OpenByShard, on: &mut Vec<Input<Nbd>>) {
         self.keeper.sweep(now, &mut self.effects);
         if !self.stopping {
             self.scrub(now, open);
--- a/src/wire/resp.rs
+++ b/src/wire/resp.rs
@@ -7,7 +7,7 @@
 use super::link::Broken;
 use super::outbox::Outbox;
 use crate::interface::Time;
-use crate::state::pipe::Taker;
+use crate::state::pipe::PipeReader;
 use crate::state::planner::Wire;
 use crate::state::pool::Sharing;
 use bytes::{Bytes, BytesMut};
@@ -212,7 +212,7 @@
 enum Body {
     Whole(Bytes),
     /// So many bytes, which come while they are sent on.
-    Long(Taker, usize),
+    Long(PipeReader, usize),
 }
 
 /// What a node has served.
@@ -221,7 +221,7 @@
     /// A value.
     Whole(Bytes),
     /// One of so many bytes that is passed on while it comes.
-    Long(Taker, usize),
+    Long(PipeReader, usize),
 }
 
 impl<T: Into<Bytes>> From<T> for Reply {
@@ -240,7 +240,7 @@
 impl Command {
     /// Writes the command with `left` in place of the client's own deadline; gives the body that is to follow. Of a
     /// long one it is not known how long its answer is waited for: that counts from its last byte.
-    fn write(self, left: Time, out: &mut Outbox) -> Option<Taker> {
+    fn write(self, left: Time, out: &mut Outbox) -> Option<PipeReader> {
         let mut left_ms = (left / 1000).max(1);
         if matches!(self.body, Some(Body::Long(..))) {
             // How long its body will take is not known; its client waits no longer than it said from the last byte on.
@@ -287,14 +287,14 @@
     type Request = Command;
     type Reply = Reply;
 
-    const SHARING: Sharing = Sharing::Nothing;
+    const SHARING: Sharing = Sharing::Exclusive;
 
-    fn flows(request: &Command) -> bool {
+    fn streams_body(request: &Command) -> bool {
         matches!(request.body, Some(Body::Long(..)))
     }
 
-    fn is_spent(request: &Command) -> bool {
-        matches!(&request.body, Some(Body::Long(taker, _)) if taker.is_tapped())
+    fn is_body_consumed(request: &Command) -> bool {
+        matches!(&request.body, Some(Body::Long(taker, _)) if taker.is_consumed())
     }
 }
 
--- a/src/wire/resp/client.rs
+++ b/src/wire/resp/client.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use crate::interface::Ending;
-use crate::state::pipe::{pipe, Course, Giver, WINDOW};
-use crate::state::planner::{End, Tag};
+use crate::state::pipe::{pipe, PipeWriter, Progress, WINDOW};
+use crate::state::planner::{AttemptEnd, AttemptId};
 use crate::state::room::Room;
 use crate::wire::link::{broken_at, either, Ended, Exchange, Flow, Stir, UNASKED, WHOLE};
 use std::collections::VecDeque;
@@ -18,9 +18,9 @@
 pub struct Node {
     outbox: Outbox,
     /// What is out, in the order of the answers, each with the positions of its first byte and behind its last.
-    out: VecDeque<(Tag, u64, u64)>,
+    out: VecDeque<(AttemptId, u64, u64)>,
     /// A body on its way, the last of what is out.
-    sending: Option<Taker>,
+    sending: Option<PipeReader>,
     /// A long reply on its way.
     passing: Option<Passing>,
     flow: Option<Flow<Reply>>,
@@ -30,7 +30,7 @@
 /// A long reply on its way.
 #[derive(Debug)]
 struct Passing {
-    giver: Giver,
+    giver: PipeWriter,
     /// Bytes of the value that are still to come.
     left: usize,
     /// Items that follow it.
@@ -51,7 +51,7 @@
     fields(text)?.iter().find_map(find).filter(|v: &f64| v.is_finite())
 }
 
-fn ending_of(value: Value) -> Result<End<Reply>, Broken> {
+fn ending_of(value: Value) -> Result<AttemptEnd<Reply>, Broken> {
     match value {
         Value::Array(Some(items)) => {
             let mut texts = items.into_iter().map(|i| if let Value::Bulk(text) = i { text } else { None });
@@ -60,14 +60,14 @@
             let util = texts.next().flatten().and_then(|text| busy(&text));
             // A null value is nothing to serve a client with, but the node ran the request.
             let ending = if value.is_some() { Ending::Served } else { Ending::Error };
-            Ok(End { ending, reply: value.map(Reply::Whole), used, elsewhere, util })
+            Ok(AttemptEnd { ending, reply: value.map(Reply::Whole), used, elsewhere, util })
         }
         Value::Error(text) => {
             let busy = text.strip_prefix(b"BUSY").is_some_and(|rest| rest.first().is_none_or(|b| *b == b' '));
             let figures_at = text.iter().rposition(|b| *b == b' ').map_or(text.len(), |at| at + 1);
             let (used, elsewhere) = figures(&text[figures_at..]);
             let ending = if busy { Ending::Full } else { Ending::Error };
-            Ok(End { ending, reply: None, used, elsewhere, util: None })
+            Ok(AttemptEnd { ending, reply: None, used, elsewhere, util: None })
         }
         _ => Err(Broken("not a reply to a request")),
     }
@@ -82,7 +82,7 @@
     /// Passes on what has come of a long reply; true when it has come to its end.
     fn pass(&mut self, read: &mut BytesMut) -> Result<bool, Broken> {
         let Some(passing) = &mut self.passing else { return Ok(false) };
-        if passing.giver.is_idle() {
+        if passing.giver.is_abandoned() {
             // Its client is gone. Nothing else can be had of this connection before all of it has come.
             return Err(Broken("nobody reads on"));
         }
@@ -100,7 +100,7 @@
 }
 
 impl Exchange<Resp> for Node {
-    fn send(&mut self, tag: Tag, left: Time, request: Command) {
+    fn send(&mut self, tag: AttemptId, left: Time, request: Command) {
         let start = self.outbox.end();
         self.sending = request.write(left, &mut self.outbox);
         let end = if self.sending.is_some() { NOWHERE } else { self.outbox.end() };
@@ -135,7 +135,8 @@
                 let (giver, taker) = pipe(&self.room, MOST_VALUE);
                 self.passing = Some(Passing { giver, left, items: items - 1 });
                 let reply = Some(Reply::Long(taker, left));
-                self.flow = Some(Flow::Begun(tag, End { reply, ..End::bare(Ending::Served) }));
+                self.flow =
+                    Some(Flow::Begun(tag, AttemptEnd { reply, ..AttemptEnd::without_reply(Ending::Served) }));
                 return Ok(());
             }
             let Some(value) = decode(read)? else {
@@ -163,11 +164,11 @@
             if self.outbox.len() >= WINDOW as u64 {
                 return Ok(());
             }
-            match (taker.take(), taker.course()) {
+            match (taker.take(), taker.progress()) {
                 (Some(bytes), _) => self.outbox.push(bytes),
-                (None, Course::Going) => return Ok(()),
-                (None, Course::Broken) => return Err(Broken("the rest of a body will not come")),
-                (None, Course::Whole) => {
+                (None, Progress::Ongoing) => return Ok(()),
+                (None, Progress::Broken) => return Err(Broken("the rest of a body will not come")),
+                (None, Progress::Complete) => {
                     self.outbox.push(&b"\r\n"[..]);
                     if let Some(last) = self.out.back_mut() {
                         last.2 = self.outbox.end();
@@ -191,14 +192,18 @@
     }
 
     fn stirred(&self) -> Option<Stir> {
-        let put = self.sending.as_ref().filter(|_| self.outbox.len() < WINDOW as u64).map(Taker::put);
-        let taken = self.passing.as_ref().map(|p| p.giver.taken());
+        let put = self
+            .sending
+            .as_ref()
+            .filter(|_| self.outbox.len() < WINDOW as u64)
+            .map(PipeReader::wait_for_bytes);
+        let taken = self.passing.as_ref().map(|p| p.giver.wait_for_space());
         either(put, taken)
     }
 
-    fn take_back(&mut self) -> Vec<Tag> {
+    fn take_back(&mut self) -> Vec<AttemptId> {
         let begun = self.out.iter().take_while(|(_, start, _)| self.outbox.has_begun(*start)).count();
-        let back: Vec<(Tag, u64, u64)> = self.out.drain(begun..).collect();
+        let back: Vec<(AttemptId, u64, u64)> = self.out.drain(begun..).collect();
         if let Some((_, start, _)) = back.first() {
             self.outbox.cut(*start);
             // A body on its way belongs to the last of what was out.
@@ -209,6 +214,9 @@
 
     fn lost(&mut self) -> Vec<Ended<Reply>> {
         let outbox = &self.outbox;
-        self.out.drain(..).map(|(tag, _, at)| (tag, End::bare(broken_at(outbox, at)))).collect()
+        self.out
+            .drain(..)
+            .map(|(tag, _, at)| (tag, AttemptEnd::without_reply(broken_at(outbox, at))))
+            .collect()
     }
 }
--- a/src/wire/resp/server.rs
+++ b/src/wire/resp/server.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::interface::{Arrival, Class, RequestId};
 use crate::state::phase::Phase;
-use crate::state::pipe::{pipe, Course, Giver, WINDOW};
+use crate::state::pipe::{pipe, PipeWriter, Progress, WINDOW};
 use crate::state::places::Placed;
 use crate::state::planner::Answer;
 use crate::state::room::{Part, Room};
@@ -113,7 +113,7 @@
     Owed(Owed),
     Ready(Vec<Bytes>),
     /// A value that is passed on while it comes.
-    Long(Taker),
+    Long(PipeReader),
     /// A value that is gathered before it is passed on, since other answers stand behind it: if it broke off on the way, the
     /// connection would have to end under them.
     Gathered(Gathered),
@@ -121,7 +121,7 @@
 
 /// A long value of which some has come.
 struct Gathered {
-    taker: Taker,
+    taker: PipeReader,
     length: usize,
     parts: Vec<Bytes>,
 }
@@ -132,10 +132,10 @@
         while let Some(bytes) = self.taker.take() {
             self.parts.push(bytes);
         }
-        match self.taker.course() {
-            Course::Going => None,
-            Course::Broken => Some(vec![Bytes::from_static(FAILED)]),
-            Course::Whole => {
+        match self.taker.progress() {
+            Progress::Ongoing => None,
+            Progress::Broken => Some(vec![Bytes::from_static(FAILED)]),
+            Progress::Complete => {
                 let mut answer = vec![value_head(self.length)];
                 answer.append(&mut self.parts);
                 answer.push(Bytes::from_static(b"\r\n"));
@@ -158,7 +158,7 @@
 /// A long body on its way from the client.
 struct Upload {
     /// Where it goes; nowhere once its request has its answer.
-    giver: Option<Giver>,
+    giver: Option<PipeWriter>,
     /// Bytes still to come, without the end of the line.
     left: usize,
     /// The request, and how long its client waits from its last byte on.
@@ -222,7 +222,7 @@
         match () {
             () if is("OBJ.GET") => self.request(now, words, "OBJ.GET", None, asks),
             () if is("OBJ.PUT") => self.request(now, words, "OBJ.PUT", None, asks),
-            () if is("PING") && self.common.phase.borrow().welcomes() => Ok(Asked::Line(b"+PONG\r\n")),
+            () if is("PING") && self.common.phase.borrow().answers_ping() => Ok(Asked::Line(b"+PONG\r\n")),
             () if is("PING") => Err(b"-ERR the broker takes no clients\r\n"),
             () if is("CLIENT") || is("SELECT") => Ok(Asked::Line(b"+OK\r\n")),
             () if is("QUIT") => Ok(Asked::Quit),
@@ -236,7 +236,7 @@
         now: Time,
         words: Vec<Bytes>,
         verb: &'static str,
-        long: Option<(Taker, usize)>,
+        long: Option<(PipeReader, usize)>,
         asks: &mut Vec<(Arrival, Command)>,
     ) -> Result<Asked, Wrong> {
         let put = verb == "OBJ.PUT";
@@ -318,7 +318,13 @@
             class: class.place,
             plan: plan.1,
             key: None,
-            due: self.common.phase.borrow().answers_by(now).unwrap_or(Time::MAX).min(now + wait - TRANSIT),
+            due: self
+                .common
+                .phase
+                .borrow()
+                .answer_deadline(now)
+                .unwrap_or(Time::MAX)
+                .min(now + wait - TRANSIT),
             volume: String::from_utf8_lossy(volume).into_owned(),
             units: f64::from(units),
             shard,
@@ -358,10 +364,10 @@
     /// Moves on what has come of a long body; false if more must come first, or its window is full.
     fn body(&mut self, now: Time, read: &mut BytesMut) -> bool {
         let Some(upload) = &mut self.upload else { return true };
-        if upload.giver.as_ref().is_some_and(Giver::is_idle) {
+        if upload.giver.as_ref().is_some_and(PipeWriter::is_abandoned) {
             upload.giver = None;
         }
-        let space = upload.giver.as_ref().map_or(usize::MAX, Giver::space);
+        let space = upload.giver.as_ref().map_or(usize::MAX, PipeWriter::space);
         let part = read.split_to(upload.left.min(read.len()).min(space)).freeze();
         upload.left -= part.len();
         if let Some(giver) = &upload.giver {
@@ -379,7 +385,7 @@
         }
         if let Some((giver, (id, wait))) = upload.giver.zip(upload.request) {
             giver.finish();
-            let last = self.common.phase.borrow().answers_by(now).unwrap_or(Time::MAX);
+            let last = self.common.phase.borrow().answer_deadline(now).unwrap_or(Time::MAX);
             self.whole.push_back((id, last.min(now + wait)));
         }
         true
@@ -413,10 +419,10 @@
                         let Some(bytes) = taker.take() else { break };
                         self.outbox.push(bytes);
                     }
-                    match taker.course() {
-                        Course::Going => return,
-                        Course::Whole => self.outbox.push(&b"\r\n"[..]),
-                        Course::Broken => {
+                    match taker.progress() {
+                        Progress::Ongoing => return,
+                        Progress::Complete => self.outbox.push(&b"\r\n"[..]),
+                        Progress::Broken => {
                             (self.broken, self.ending) = (true, true);
                             return;
                         }
@@ -550,11 +556,11 @@
 
     fn stirred(&self) -> Option<Stir> {
         let put = match self.slots.front() {
-            Some(Slot::Long(taker)) if self.outbox.len() < MOST_AHEAD => Some(taker.put()),
-            Some(Slot::Gathered(gathered)) => Some(gathered.taker.put()),
+            Some(Slot::Long(taker)) if self.outbox.len() < MOST_AHEAD => Some(taker.wait_for_bytes()),
+            Some(Slot::Gathered(gathered)) => Some(gathered.taker.wait_for_bytes()),
             _ => None,
         };
-        let taken = self.upload.as_ref().and_then(|u| u.giver.as_ref()).map(Giver::taken);
+        let taken = self.upload.as_ref().and_then(|u| u.giver.as_ref()).map(PipeWriter::wait_for_space);
         either(put, taken)
     }
 
@@ -576,7 +582,7 @@
 
     fn full(&self) -> bool {
         if let Some(upload) = &self.upload {
-            return upload.giver.as_ref().is_some_and(|g| !g.is_idle() && g.space() == 0);
+            return upload.giver.as_ref().is_some_and(|g| !g.is_abandoned() && g.space() == 0);
         }
         // Behind a value that may break off nothing is taken: it could not be answered any more.
         let passes = self.slots.iter().any(|slot| matches!(slot, Slot::Long(_)));
--- a/src/wire/session.rs
+++ b/src/wire/session.rs
@@ -8,7 +8,7 @@
 use crate::state::activity::Activity;
 use crate::state::guard::{CloseReason, Guard};
 use crate::state::phase::Phase;
-use crate::state::planner::{Answer, Ask, Back, Input, Wire};
+use crate::state::planner::{Answer, AnswerSender, ClientRequest, Input, Wire};
 use crate::state::seats::Seat;
 use crate::wire::clock::Pulse;
 use crate::wire::socket::{is_short_of_memory, passes, unread, Unread, REST};
@@ -182,13 +182,13 @@
         // A command that has begun is waited for: its last byte may be on its way.
         let stands = *phase.borrow();
         let closes = admission.closes_at(stands, activity.last_use(), activity.is_used());
-        let closes = closes.filter(|_| idle && !activity.is_amid_command());
+        let closes = closes.filter(|_| idle && !activity.has_partial_command());
         // So is the rest of several that were sent at once. Where all are refused, so is what has not come.
         let batch = activity.batch_until(now).filter(|_| idle && admission == Admission::Served);
         let closes = closes.map(|at| at.max(batch.unwrap_or(at)));
         // Half a command is not waited for beyond the last moment at which its answer could be given.
-        let ends = stands.ends_at().filter(|_| idle);
-        let deaf = stands.deaf_at().filter(|_| !idle);
+        let ends = stands.last_answer_at().filter(|_| idle);
+        let deaf = stands.stops_reading_at().filter(|_| !idle);
         let listens = deaf.is_none_or(|at| at > now) && !session.ending();
         let open = listens && !session.full() && session.outbox().len() < MOST_UNREAD;
         if open && std::mem::take(&mut untaken) {
@@ -204,10 +204,10 @@
             break CloseReason::Ended;
         }
         let unfinished =
-            activity.is_amid_command() && (over || is_over(ends) || (gives_way && seat.is_called()));
+            activity.has_partial_command() && (over || is_over(ends) || (gives_way && seat.is_called()));
         if unfinished || (idle && (over || wanted)) {
             // The clock may have run while nobody read: what has come is taken first. The runtime is asked to look again.
-            let reads = stands.reads_between(now);
+            let reads = stands.reads_idle_connections(now);
             if reads && unread(&stream) == Unread::Bytes && !session.ending() {
                 tokio::task::yield_now().await;
                 match stream.try_read_buf(&mut read) {
@@ -220,7 +220,7 @@
                 }
             }
             if unfinished {
-                activity.give_up_command();
+                activity.discard_partial_command();
                 if !session.ending() {
                     session.hurry();
                     continue;
@@ -302,7 +302,7 @@
                 }
             }
             Ok(()) = phase.changed() => {
-                if phase.borrow().stops() {
+                if phase.borrow().is_terminating() {
                     session.stop();
                 }
             }
@@ -317,7 +317,7 @@
     };
     ways.end(&session, &activity, reason, *phase.borrow());
     let refuses = !activity.is_used() || admission == Admission::Refused;
-    if refuses && reason.is_own_wish() {
+    if refuses && reason.is_broker_initiated() {
         session.turn_away();
         write_last(&stream, &mut session).await;
     }
@@ -382,7 +382,7 @@
 struct Ways<W: Wire> {
     planner: UnboundedSender<Input<W>>,
     guard: Guard,
-    back: Back<W::Reply>,
+    back: AnswerSender<W::Reply>,
     pulse: Pulse,
     admission: Admission,
     /// Since when what is taken next may have waited, in the socket or in what was read ahead; nothing if it has just come.
@@ -425,7 +425,7 @@
             }
         }
         for id in owed {
-            let _ = self.planner.send(Input::Gone(id));
+            let _ = self.planner.send(Input::ClientGone(id));
         }
     }
 
@@ -478,15 +478,15 @@
         for (mut arrival, request) in asks {
             arrival.due = self.admission.due(arrival.due, self.pulse.now());
             // The time of one whose body is still coming is not known yet.
-            let due = if W::flows(&request) { Time::MAX } else { arrival.due };
+            let due = if W::streams_body(&request) { Time::MAX } else { arrival.due };
             self.guard.take(arrival.id, due);
-            let ask = Ask { arrival, request, back: self.back.clone(), of_client: true };
-            let _ = self.planner.send(Input::Ask(ask));
+            let ask = ClientRequest { arrival, request, back: self.back.clone(), of_client: true };
+            let _ = self.planner.send(Input::Request(ask));
         }
         while let Some((id, due)) = session.whole() {
             let due = self.admission.due(due, self.pulse.now());
             self.guard.retime(id, due);
-            let _ = self.planner.send(Input::Whole(id, due));
+            let _ = self.planner.send(Input::BodyComplete(id, due));
         }
     }
 }
--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -7,9 +7,9 @@
     Arrival, Class, Ending, ListKind, NodeEntry, NodeState, Plan, RequestId, Settings, Time,
 };
 use claywinch::state::integrity::{Facts, Geometry};
+use claywinch::state::interceptor::{Interceptor, PassThrough};
 use claywinch::state::planner::*;
-use claywinch::state::pool::{LinkTerms, PoolLimits};
-use claywinch::state::stage::{Stage, Through};
+use claywinch::state::pool::{LinkSettings, PoolLimits};
 use claywinch::wire::nbd::guard::Guard;
 use claywinch::wire::nbd::server::{Catalogue, Export, Exports, Kind};
 use claywinch::wire::nbd::{Nbd, Operation, Part, Request, SUMS};
@@ -80,7 +80,7 @@
 /// A planner with its stage, and a node that answers at once.
 struct Broker<G> {
     planner: Planner<Nbd>,
-    stage: G,
+    interceptor: G,
     now: Time,
     data: Vec<u8>,
     sums: Vec<u8>,
@@ -88,15 +88,18 @@
     next: RequestId,
 }
 
-impl<G: Stage<Nbd>> Broker<G> {
-    fn new(stage: G) -> Self {
-        let limits =
-            PoolLimits { links: 64, links_per_node: 16, terms: LinkTerms { multiplex: 100, idle: 1 << 40 } };
+impl<G: Interceptor<Nbd>> Broker<G> {
+    fn new(interceptor: G) -> Self {
+        let limits = PoolLimits {
+            links: 64,
+            links_per_node: 16,
+            terms: LinkSettings { multiplex: 100, idle: 1 << 40 },
+        };
         let planner = Planner::new(settings(), 7, 0, limits).expect("good settings");
         let (data, sums) = (vec![7; SIZE as usize], vec![0; SIZE as usize / 32]);
-        let mut broker = Broker { planner, stage, now: 1_000_000, data, sums, sent: 0, next: 1 << 32 };
+        let mut broker = Broker { planner, interceptor, now: 1_000_000, data, sums, sent: 0, next: 1 << 32 };
         let entry = NodeEntry { node: 1, zone: 0, shard: 0, state: NodeState::Up, started: None, size: 0 };
-        broker.turn(Input::Nodes(ListKind::Full, vec![Member { entry, address: String::new() }]));
+        broker.turn(Input::Nodes(ListKind::Full, vec![ListedNode { entry, address: String::new() }]));
         for _ in 0..2_000 {
             broker.now += 1_000;
             broker.sweep();
@@ -106,13 +109,13 @@
 
     fn sweep(&mut self) {
         let mut on = Vec::new();
-        self.stage.sweep(self.now, self.planner.open_at(), &mut on);
+        self.interceptor.sweep(self.now, self.planner.open_by_shard(), &mut on);
         self.carry(on);
     }
 
     fn turn(&mut self, input: Input<Nbd>) {
         let mut on = Vec::new();
-        self.stage.take(self.now, input, &mut on);
+        self.interceptor.take(self.now, input, &mut on);
         self.carry(on);
     }
 
@@ -121,11 +124,11 @@
         let mut effects = Vec::new();
         loop {
             self.planner.turn(self.now, on.drain(..), &mut effects);
-            self.stage.settle(self.now, &mut on);
+            self.interceptor.collect_answers(self.now, &mut on);
             for effect in effects.drain(..) {
                 if let Effect::Send(link, tag, _, request) = effect {
                     self.sent += 1;
-                    on.push(Input::Ended(link, tag, self.node(request)));
+                    on.push(Input::AttemptEnded(link, tag, self.node(request)));
                 }
             }
             if on.is_empty() {
@@ -134,7 +137,7 @@
         }
     }
 
-    fn node(&mut self, request: Request) -> End<Vec<Part>> {
+    fn node(&mut self, request: Request) -> AttemptEnd<Vec<Part>> {
         let place = if request.export & SUMS != 0 { &mut self.sums } else { &mut self.data };
         let range = request.offset as usize..request.offset as usize + request.length as usize;
         let parts = match &request.operation {
@@ -145,7 +148,7 @@
             }
             Operation::Flush => Vec::new(),
         };
-        End { reply: Some(parts), ..End::bare(Ending::Served) }
+        AttemptEnd { reply: Some(parts), ..AttemptEnd::without_reply(Ending::Served) }
     }
 
     /// A request of a client, and its answer.
@@ -167,7 +170,7 @@
             repeat: false,
         };
         let request = Request { export: 0, operation, durable: false, offset, length, describe: None };
-        self.turn(Input::Ask(Ask { arrival, request, back, of_client: false }));
+        self.turn(Input::Request(ClientRequest { arrival, request, back, of_client: false }));
         match answers.try_recv() {
             Ok((_, Answer::Served(parts))) => parts,
             other => panic!("{other:?}"),
@@ -201,7 +204,7 @@
     let _profiler = dhat::Profiler::builder().testing().build();
     let guard = |summed| Guard::new(exports(summed), Numbers::default(), 256, 0);
     let (mut plain, mut through, mut checked) =
-        (Broker::new(Through), Broker::new(guard(false)), Broker::new(guard(true)));
+        (Broker::new(PassThrough), Broker::new(guard(false)), Broker::new(guard(true)));
     println!("request           unchecked         with the stage    checked       (allocations, attempts)");
     for length in [4096, 65_536, 1 << 20] {
         for write in [true, false] {
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -8,7 +8,7 @@
 use claywinch::state::phase::Phase;
 use claywinch::state::pipe::pipe;
 use claywinch::state::places::Placed;
-use claywinch::state::planner::{Answer, End};
+use claywinch::state::planner::{Answer, AttemptEnd};
 use claywinch::state::room::Room;
 use claywinch::wire::link::{Broken, Exchange, Flow};
 use claywinch::wire::nbd::server::{Catalogue, Client as NbdClient, Export, Exports, Kind};
@@ -136,9 +136,19 @@
     let mut ended = Vec::new();
     let reply = "*3\r\n$1\r\nv\r\n$14\r\nused=37,cost=4\r\n$-1\r\n-ERR failed used=5\r\n";
     node.receive(&mut BytesMut::from(reply.as_bytes()), &mut ended).unwrap();
-    let served =
-        End { reply: Some("v".into()), used: Some(0.37), elsewhere: 4.0, ..End::bare(Ending::Served) };
-    assert_eq!(ended, [((0, 0), served), ((1, 0), End { used: Some(0.05), ..End::bare(Ending::Error) })]);
+    let served = AttemptEnd {
+        reply: Some("v".into()),
+        used: Some(0.37),
+        elsewhere: 4.0,
+        ..AttemptEnd::without_reply(Ending::Served)
+    };
+    assert_eq!(
+        ended,
+        [
+            ((0, 0), served),
+            ((1, 0), AttemptEnd { used: Some(0.05), ..AttemptEnd::without_reply(Ending::Error) })
+        ]
+    );
     // The third was written whole, the fourth was not: only that one cannot have run.
     let lost: Vec<Ending> = node.lost().into_iter().map(|(_, end)| end.ending).collect();
     assert_eq!(lost, [Ending::Reset, Ending::Unreachable]);
@@ -608,11 +618,14 @@
     node.receive(&mut BytesMut::from(&node_says(&whole[..1])[..]), &mut ended).unwrap();
     assert!(ended.is_empty());
     written(node.outbox());
-    assert_eq!(node.lost(), [((5, 0), End::bare(Ending::Reset))]);
+    assert_eq!(node.lost(), [((5, 0), AttemptEnd::without_reply(Ending::Reset))]);
     let mut node = nbd_node();
     node.receive(&mut BytesMut::from(&node_says(&whole)[..]), &mut ended).unwrap();
     let parts = vec![Part::Hole(0, 4), Part::Data(4, "efghij".into())];
-    assert_eq!(ended, [((5, 0), End { reply: Some(parts), ..End::bare(Ending::Served) })]);
+    assert_eq!(
+        ended,
+        [((5, 0), AttemptEnd { reply: Some(parts), ..AttemptEnd::without_reply(Ending::Served) })]
+    );
 }
 
 #[test]
@@ -633,15 +646,15 @@
         let result = node.receive(&mut BytesMut::from(&node_says(&chunks)[..]), &mut ended);
         written(node.outbox());
         match ending {
-            Some(ending) => assert_eq!(ended, [((5, 0), End::bare(ending))], "{chunks:?}"),
+            Some(ending) => assert_eq!(ended, [((5, 0), AttemptEnd::without_reply(ending))], "{chunks:?}"),
             None => {
                 assert!(result.is_err() && ended.is_empty(), "{chunks:?}");
-                assert_eq!(node.lost(), [((5, 0), End::bare(Ending::Reset))], "{chunks:?}");
+                assert_eq!(node.lost(), [((5, 0), AttemptEnd::without_reply(Ending::Reset))], "{chunks:?}");
             }
         }
     }
     // Before the handshake is done nothing has been sent.
-    assert_eq!(nbd_node().lost(), [((5, 0), End::bare(Ending::Unreachable))]);
+    assert_eq!(nbd_node().lost(), [((5, 0), AttemptEnd::without_reply(Ending::Unreachable))]);
 }
 
 #[test]
@@ -682,7 +695,10 @@
     let text = [b"NBDMAGICIHAVEOPT\0\x03".to_vec(), refused(8), refused(7), export, reply(0, 1), vec![5; 10]];
     node.receive(&mut BytesMut::from(&text.concat()[..]), &mut ended).unwrap();
     let parts = vec![Part::Data(0, vec![5; 10].into())];
-    assert_eq!(ended, [((5, 0), End { reply: Some(parts), ..End::bare(Ending::Served) })]);
+    assert_eq!(
+        ended,
+        [((5, 0), AttemptEnd { reply: Some(parts), ..AttemptEnd::without_reply(Ending::Served) })]
+    );
     let asked = written(node.outbox());
     assert!(asked.windows(16).any(|w| w == &option(1, b"disk")[..16]), "EXPORT_NAME in place of GO");
 }
@@ -938,7 +954,7 @@
     written(node.outbox());
     drop(client);
     assert!(node.fill().is_err(), "the rest will not come");
-    assert_eq!(node.lost(), [((1, 0), End::bare(Ending::Unreachable))]);
+    assert_eq!(node.lost(), [((1, 0), AttemptEnd::without_reply(Ending::Unreachable))]);
     // A class that does not exist; then a request that does, behind it on the same connection.
     let mut client = resp_client();
     let bad = put("1", &FIELDS.replace("read", "none"), &body);
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -3,8 +3,10 @@
 mod common;
 
 use claywinch::interface::*;
-use claywinch::state::planner::{Answer, Ask as Asked, Effect, End, Input, Member, Planner, Tag, Wire};
-use claywinch::state::pool::{LinkId, LinkTerms, PoolLimits};
+use claywinch::state::planner::{
+    Answer, AttemptEnd, AttemptId, ClientRequest, Effect, Input, ListedNode, Planner, Wire,
+};
+use claywinch::state::pool::{LinkId, LinkSettings, PoolLimits};
 use common::{ask, entry, settings, Ask, Drive};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 
@@ -26,13 +28,13 @@
     /// A planner with one node that is up, and so many links.
     fn new(links: usize) -> Self {
         let limits =
-            PoolLimits { links, links_per_node: 8, terms: LinkTerms { multiplex: 2, idle: 3_000_000 } };
+            PoolLimits { links, links_per_node: 8, terms: LinkSettings { multiplex: 2, idle: 3_000_000 } };
         let set = Settings { cancel: true, budget: None, ..settings() };
         let now = 5_000_000;
         let planner = Planner::new(set, 7, now, limits).expect("good settings");
         let (back, answers) = unbounded_channel();
         let mut bench = Bench { planner, now, back, answers };
-        let up = Member { entry: entry(1, 0, NodeState::Up, None), address: "a node".into() };
+        let up = ListedNode { entry: entry(1, 0, NodeState::Up, None), address: "a node".into() };
         bench.turn(0, vec![Input::Nodes(ListKind::Full, vec![up])]);
         bench
     }
@@ -45,18 +47,18 @@
     fn request(&self, ask: Ask) -> Input<Text> {
         let drive = Drive { now: self.now, ..Drive::new(settings()) };
         let Event::Request(arrival) = drive.arrival(ask) else { unreachable!("an arrival is a request") };
-        Input::Ask(Asked { arrival, request: "what", back: self.back.clone(), of_client: false })
+        Input::Request(ClientRequest { arrival, request: "what", back: self.back.clone(), of_client: false })
     }
     fn answered(&mut self) -> Vec<(RequestId, Answer<&'static str>)> {
         std::iter::from_fn(|| self.answers.try_recv().ok()).collect()
     }
 }
 
-fn served() -> End<&'static str> {
-    End { reply: Some("reply"), ..End::bare(Ending::Served) }
+fn served() -> AttemptEnd<&'static str> {
+    AttemptEnd { reply: Some("reply"), ..AttemptEnd::without_reply(Ending::Served) }
 }
 
-fn sent(effects: &[Effect<Text>]) -> Vec<(LinkId, Tag)> {
+fn sent(effects: &[Effect<Text>]) -> Vec<(LinkId, AttemptId)> {
     let send =
         |e: &Effect<Text>| if let Effect::Send(link, tag, ..) = e { Some((*link, *tag)) } else { None };
     effects.iter().filter_map(send).collect()
@@ -72,9 +74,12 @@
     let mut b = Bench::new(4);
     let input = b.request(ask(1));
     assert_eq!(sent(&b.turn(0, vec![input])), [(0, (1, 0))]);
-    let twice = (0..2).map(|_| Input::Ended(0, (1, 0), served())).collect();
+    let twice = (0..2).map(|_| Input::AttemptEnded(0, (1, 0), served())).collect();
     b.turn(50_000, twice);
-    b.turn(0, vec![Input::Gone(1), Input::Ended(0, (1, 0), End::bare(Ending::Reset))]);
+    b.turn(
+        0,
+        vec![Input::ClientGone(1), Input::AttemptEnded(0, (1, 0), AttemptEnd::without_reply(Ending::Reset))],
+    );
     assert_eq!(b.answered(), [(1, Answer::Served("reply"))]);
     assert_eq!(b.planner.load(), (0, 0, 1));
 }
@@ -85,11 +90,11 @@
     let mut b = Bench::new(4);
     let input = b.request(ask(1));
     b.turn(0, vec![input]);
-    b.turn(50_000, vec![Input::LinkUp(0), Input::Ended(0, (1, 0), served())]);
+    b.turn(50_000, vec![Input::LinkUp(0), Input::AttemptEnded(0, (1, 0), served())]);
     b.now += 2_000_000;
     let input = b.request(ask(2));
     assert_eq!(sent(&b.turn(0, vec![input])), [(0, (2, 0))], "the link is used again");
-    b.turn(50_000, vec![Input::Ended(0, (2, 0), served())]);
+    b.turn(50_000, vec![Input::AttemptEnded(0, (2, 0), served())]);
     assert!(closed(&b.turn(2_900_000, vec![])).is_empty());
     assert_eq!(closed(&b.turn(200_000, vec![])), [0]);
 }
@@ -101,12 +106,19 @@
     let mut b = Bench::new(1);
     let inputs = vec![b.request(ask(1)), b.request(ask(2))];
     assert_eq!(sent(&b.turn(0, inputs)), [(0, (1, 0)), (0, (2, 0))], "one link for both");
-    assert!(closed(&b.turn(1000, vec![Input::Gone(1)])).is_empty(), "the other's answer is still to come");
-    assert_eq!(closed(&b.turn(1000, vec![Input::Gone(2)])), [0], "nobody waits for anything on it any more");
+    assert!(
+        closed(&b.turn(1000, vec![Input::ClientGone(1)])).is_empty(),
+        "the other's answer is still to come"
+    );
+    assert_eq!(
+        closed(&b.turn(1000, vec![Input::ClientGone(2)])),
+        [0],
+        "nobody waits for anything on it any more"
+    );
     let mut b = Bench::new(4);
     let inputs = vec![b.request(ask(1)), b.request(ask(2))];
     b.turn(0, inputs);
-    assert_eq!(closed(&b.turn(1000, vec![Input::Gone(1)])), [0]);
+    assert_eq!(closed(&b.turn(1000, vec![Input::ClientGone(1)])), [0]);
 }
 
 /// Guards against a node that is blamed for a link that this process cannot have, against a request that uses up its
@@ -124,7 +136,7 @@
     let counts = b.planner.take_counts();
     assert!(counts.endings[Ending::NoLink as usize] > 4, "it is tried again and again: {counts:?}");
     assert_eq!(counts.endings[Ending::Unreachable as usize], 0);
-    let input = Input::Links(Some(1));
+    let input = Input::LinkLimit(Some(1));
     let there = [b.turn(10_000, vec![input]), b.turn(10_000, vec![])];
     assert_eq!(there.iter().map(|effects| sent(effects).len()).sum::<usize>(), 1, "once there is a link");
     let mut b = Bench::new(0);
@@ -157,12 +169,12 @@
     let mut b = Bench::new(4);
     let input = b.request(ask(1));
     b.turn(0, vec![input]);
-    assert!(closed(&b.turn(50_000, vec![Input::LinkUp(0), Input::Partial(0, Some(300_000))])).is_empty());
-    assert!(closed(&b.turn(200_000, vec![Input::Partial(0, Some(300_000))])).is_empty());
+    assert!(closed(&b.turn(50_000, vec![Input::LinkUp(0), Input::PartialReply(0, Some(300_000))])).is_empty());
+    assert!(closed(&b.turn(200_000, vec![Input::PartialReply(0, Some(300_000))])).is_empty());
     assert!(closed(&b.turn(200_000, vec![])).is_empty(), "more of it came meanwhile");
     let effects = b.turn(200_000, vec![]);
     assert_eq!((closed(&effects), sent(&effects)), (vec![0], vec![(1, (1, 1))]));
-    let whole = vec![Input::LinkUp(1), Input::Partial(1, Some(300_000)), Input::Partial(1, None)];
+    let whole = vec![Input::LinkUp(1), Input::PartialReply(1, Some(300_000)), Input::PartialReply(1, None)];
     b.turn(1_000, whole);
     assert!(closed(&b.turn(900_000, vec![])).is_empty(), "nothing is left of a reply on it");
     assert_eq!(b.planner.take_counts().endings[Ending::Reset as usize], 1);
@@ -173,7 +185,7 @@
 fn nodes_that_come_and_go_are_forgotten() {
     let mut b = Bench::new(4);
     for node in 10..60 {
-        let member = |state| Member { entry: entry(node, 0, state, None), address: "a node".into() };
+        let member = |state| ListedNode { entry: entry(node, 0, state, None), address: "a node".into() };
         b.turn(1_000_000, vec![Input::Nodes(ListKind::Changes, vec![member(NodeState::Up)])]);
         b.turn(1_000_000, vec![Input::Nodes(ListKind::Changes, vec![member(NodeState::Gone)])]);
     }
@@ -192,12 +204,13 @@
     let first = sent(&bench.turn(0, both));
     let [(link, one), (shared, _)] = first[..] else { panic!("two sends, not {first:?}") };
     assert_eq!(link, shared);
-    let effects = bench.turn(10, vec![Input::Gone(1)]);
+    let effects = bench.turn(10, vec![Input::ClientGone(1)]);
     let withdrawn = |e: &Effect<Text>| if let Effect::Withdraw(l, t) = e { Some((*l, *t)) } else { None };
-    let all: Vec<(LinkId, Tag)> = effects.iter().filter_map(withdrawn).collect();
+    let all: Vec<(LinkId, AttemptId)> = effects.iter().filter_map(withdrawn).collect();
     assert!(!all.is_empty() && all.iter().all(|w| *w == (link, one)), "{all:?}");
     assert!(closed(&effects).is_empty(), "the other goes on");
-    let effects = bench.turn(10, vec![Input::Ended(link, one, End::bare(Ending::NotSent))]);
+    let effects =
+        bench.turn(10, vec![Input::AttemptEnded(link, one, AttemptEnd::without_reply(Ending::NotSent))]);
     assert_eq!((sent(&effects).len(), bench.planner.load().0), (0, 1));
 }
 
@@ -207,22 +220,24 @@
 fn what_is_on_a_link_to_a_node_that_leaves_ends_as_the_link_says() {
     for ending in [Ending::NotSent, Ending::Served] {
         let mut bench = Bench::new(4);
-        let other = Member { entry: entry(2, 1, NodeState::Up, None), address: "another".into() };
+        let other = ListedNode { entry: entry(2, 1, NodeState::Up, None), address: "another".into() };
         bench.turn(0, vec![Input::Nodes(ListKind::Changes, vec![other])]);
         let write = bench.request(Ask { class: 2, shard: None, ..ask(1) });
         let first = sent(&bench.turn(1000, vec![write]));
         let [(link, tag)] = first[..] else { panic!("one send, not {first:?}") };
-        let leaves =
-            |node, shard| Member { entry: entry(node, shard, NodeState::Draining, None), address: "".into() };
+        let leaves = |node, shard| ListedNode {
+            entry: entry(node, shard, NodeState::Draining, None),
+            address: "".into(),
+        };
         let both = vec![leaves(1, 0), leaves(2, 1)];
         let effects = bench.turn(1000, vec![Input::Nodes(ListKind::Changes, both), Input::LinkUp(link)]);
         assert!(effects.iter().any(|e| matches!(e, Effect::Bar(l) if *l == link)));
         assert_eq!((sent(&effects), closed(&effects)), (vec![], vec![]));
-        let back = Member { entry: entry(2, 1, NodeState::Up, None), address: "another".into() };
+        let back = ListedNode { entry: entry(2, 1, NodeState::Up, None), address: "another".into() };
         let effects = bench.turn(1000, vec![Input::Nodes(ListKind::Changes, vec![back])]);
         assert_eq!(sent(&effects), [], "it may have run, as far as is known here");
-        let end = if ending == Ending::Served { served() } else { End::bare(ending) };
-        let effects = bench.turn(1000, vec![Input::Ended(link, tag, end)]);
+        let end = if ending == Ending::Served { served() } else { AttemptEnd::without_reply(ending) };
+        let effects = bench.turn(1000, vec![Input::AttemptEnded(link, tag, end)]);
         let again = sent(&effects).len();
         assert_eq!(again, usize::from(ending == Ending::NotSent));
         assert_eq!(bench.answered().len(), usize::from(ending == Ending::Served));
