--- a/src/run/fleet.rs
+++ b/src/run/fleet.rs
@@ -74,7 +74,7 @@
             // One that is late once was held up from outside, and has read what came meanwhile. One that stays late has too
             // much to do.
             if late > ON_TIME && was_late {
-                taken.push(Input::Late(late));
+                taken.push(Input::HostLateness(late));
             }
             was_late = late > ON_TIME;
             self.planner.note_lateness(self.pulse.lately());
--- a/src/run/handover.rs
+++ b/src/run/handover.rs
@@ -172,7 +172,7 @@
     /// Has the planner spend by another part of the limits; done when the turn that took it is over.
     async fn spend(&mut self, part: f64) {
         let (reached, done) = oneshot::channel();
-        let _ = self.planner.send(Input::Part(part));
+        let _ = self.planner.send(Input::LimitShare(part));
         let _ = self.planner.send(Input::Barrier(reached));
         // A planner that is gone spends nothing.
         let _ = done.await;
--- a/src/run/reload.rs
+++ b/src/run/reload.rs
@@ -106,7 +106,7 @@
         self.deadlines.set(deadlines);
         let _ = step(&self.phase, Transition::Grace(grace(deadlines)), self.clock.now());
         if let Some(by) = self.phase.borrow().last_answer_at() {
-            let _ = self.planner.send(Input::EndBy(by));
+            let _ = self.planner.send(Input::AnswerAllBy(by));
         }
         self.text = new.text;
         self.tell(bounds.links());
--- a/src/run/start.rs
+++ b/src/run/start.rs
@@ -123,7 +123,7 @@
     }
     if file.is_some() {
         // Until its part of the limits is on record: another process may spend by all of them.
-        let _ = own.send(Input::Part(0.0));
+        let _ = own.send(Input::LimitShare(0.0));
     }
     let (mut known, mut starts) = (known.unwrap_or_default(), Starts::new(clock.now()));
     for listed in &mut known {
--- a/src/run/stop.rs
+++ b/src/run/stop.rs
@@ -123,9 +123,9 @@
         self.step(Transition::Stop(self.grace()), told);
         // Whatever was taken before under a longer deadline has its answer by then, too.
         if let Some(by) = self.phase.borrow().last_answer_at() {
-            let _ = self.planner.send(Input::EndBy(by));
+            let _ = self.planner.send(Input::AnswerAllBy(by));
             if let Some(nbd) = &self.nbd {
-                let _ = nbd.planner.send(Input::EndBy(by));
+                let _ = nbd.planner.send(Input::AnswerAllBy(by));
             }
         }
     }
--- a/src/state/planner.rs
+++ b/src/state/planner.rs
@@ -86,9 +86,9 @@
     /// The node's reply, if it was served.
     pub reply: Option<R>,
     /// The figures on use that came along; see [`Outcome`].
-    pub used: Option<f64>,
+    pub volume_use: Option<f64>,
     /// See [`Outcome::served_elsewhere`].
-    pub elsewhere: f64,
+    pub served_elsewhere: f64,
     /// See [`Outcome::util`].
     pub util: Option<f64>,
 }
@@ -96,7 +96,7 @@
 impl<R> AttemptEnd<R> {
     /// An end without a reply or figures.
     pub fn without_reply(ending: Ending) -> Self {
-        AttemptEnd { ending, reply: None, used: None, elsewhere: 0.0, util: None }
+        AttemptEnd { ending, reply: None, volume_use: None, served_elsewhere: 0.0, util: None }
     }
 }
 
@@ -150,13 +150,13 @@
     /// New settings; see [`Event::Settings`].
     Settings(Box<Settings>, LinkSettings),
     /// The part of all limits that is this process's; see [`Event::LimitShare`].
-    Part(f64),
+    LimitShare(f64),
     /// Nothing may be sent to any node, or it may again.
     Suspended(bool),
     /// The process ends: whatever it has taken is to have its answer by this time.
-    EndBy(Time),
+    AnswerAllBy(Time),
     /// So late the process runs, in microseconds.
-    Late(Time),
+    HostLateness(Time),
     /// So many links there may be from now on; if nothing, few more than there are.
     LinkLimit(Option<usize>),
     /// Whoever holds the other end is told once the turn is over that took all before this.
@@ -468,8 +468,8 @@
                 }
                 self.events.push(Event::Suspended(suspended));
             }
-            Input::EndBy(at) => self.end_by(at),
-            Input::Late(late) => self.events.push(Event::HostLateness(late)),
+            Input::AnswerAllBy(at) => self.end_by(at),
+            Input::HostLateness(late) => self.events.push(Event::HostLateness(late)),
             Input::Nodes(kind, members) => {
                 let mut entries = Vec::with_capacity(members.len());
                 if matches!(kind, ListKind::Full | ListKind::Saved) {
@@ -505,7 +505,7 @@
                     effects.push(Effect::Close(link));
                 }
             }
-            Input::Part(part) => self.events.push(Event::LimitShare(part)),
+            Input::LimitShare(part) => self.events.push(Event::LimitShare(part)),
             Input::Barrier(waiting) => self.reached.push(waiting),
         }
     }
@@ -567,8 +567,8 @@
             closed: !self.requests.contains_key(&id),
             node: attempt.node,
             elapsed: now - attempt.sent,
-            served_elsewhere: end.elsewhere,
-            volume_use: end.used,
+            served_elsewhere: end.served_elsewhere,
+            volume_use: end.volume_use,
             util: end.util,
         }));
     }
--- a/src/wire/resp/client.rs
+++ b/src/wire/resp/client.rs
@@ -56,18 +56,19 @@
         Value::Array(Some(items)) => {
             let mut texts = items.into_iter().map(|i| if let Value::Bulk(text) = i { text } else { None });
             let value = texts.next().flatten();
-            let (used, elsewhere) = texts.next().flatten().map_or((None, 0.0), |text| figures(&text));
+            let (volume_use, served_elsewhere) =
+                texts.next().flatten().map_or((None, 0.0), |text| figures(&text));
             let util = texts.next().flatten().and_then(|text| busy(&text));
             // A null value is nothing to serve a client with, but the node ran the request.
             let ending = if value.is_some() { Ending::Served } else { Ending::Error };
-            Ok(AttemptEnd { ending, reply: value.map(Reply::Whole), used, elsewhere, util })
+            Ok(AttemptEnd { ending, reply: value.map(Reply::Whole), volume_use, served_elsewhere, util })
         }
         Value::Error(text) => {
             let busy = text.strip_prefix(b"BUSY").is_some_and(|rest| rest.first().is_none_or(|b| *b == b' '));
             let figures_at = text.iter().rposition(|b| *b == b' ').map_or(text.len(), |at| at + 1);
-            let (used, elsewhere) = figures(&text[figures_at..]);
+            let (volume_use, served_elsewhere) = figures(&text[figures_at..]);
             let ending = if busy { Ending::Full } else { Ending::Error };
-            Ok(AttemptEnd { ending, reply: None, used, elsewhere, util: None })
+            Ok(AttemptEnd { ending, reply: None, volume_use, served_elsewhere, util: None })
         }
         _ => Err(Broken("not a reply to a request")),
     }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -138,15 +138,15 @@
     node.receive(&mut BytesMut::from(reply.as_bytes()), &mut ended).unwrap();
     let served = AttemptEnd {
         reply: Some("v".into()),
-        used: Some(0.37),
-        elsewhere: 4.0,
+        volume_use: Some(0.37),
+        served_elsewhere: 4.0,
         ..AttemptEnd::without_reply(Ending::Served)
     };
     assert_eq!(
         ended,
         [
             ((0, 0), served),
-            ((1, 0), AttemptEnd { used: Some(0.05), ..AttemptEnd::without_reply(Ending::Error) })
+            ((1, 0), AttemptEnd { volume_use: Some(0.05), ..AttemptEnd::without_reply(Ending::Error) })
         ]
     );
     // The third was written whole, the fourth was not: only that one cannot have run.
