--- a/crates/lab/src/slopes/data.rs
+++ b/crates/lab/src/slopes/data.rs
@@ -4,7 +4,7 @@
 use bytes::BytesMut;
 use claywinch::interface::*;
 use claywinch::rules::Scheduler;
-use claywinch::state::upkeep::Upkeep;
+use claywinch::state::maintenance::Maintenance;
 use claywinch::wire::discovery::{decode, NodeNumbers, Response};
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
@@ -207,13 +207,13 @@
     let made = time_with(CALLS, || list.clone(), |list| list.into_listed(&mut numbers, &zones));
     row("list-numbered", "us", made / 1e3);
     // A drain that the cluster agreed on, taken into the broker's table.
-    let mut upkeep = Upkeep::default();
-    upkeep.list(0, ListKind::Full, list.into_listed(&mut numbers, &zones));
+    let mut maintenance = Maintenance::default();
+    maintenance.apply_list(0, ListKind::Full, list.into_listed(&mut numbers, &zones));
     let (mut at, mut out) = (1_000, false);
     let drained = BTreeSet::from([format!("d-{:08x}", 3 * 7919 + 13)]);
     let share = time(LENGTH, || {
         (at, out) = (at + 1_000, !out);
-        upkeep.share(at, if out { drained.clone() } else { BTreeSet::new() })
+        maintenance.set_shared(at, if out { drained.clone() } else { BTreeSet::new() })
     });
     row("drain-taken", "us", share / 1e3);
     Ok(rows)
--- a/src/run/fleet.rs
+++ b/src/run/fleet.rs
@@ -1,10 +1,10 @@
 //! Drives a planner: waits for what happens, gives it its turns, and carries out what it wants on sockets.
 
 use crate::interface::{Ending, Time};
+use crate::state::buffer_budget::BufferBudget;
 use crate::state::interceptor::Interceptor;
 use crate::state::planner::{AttemptEnd, Effect, Input, Planner, Wire};
 use crate::state::pool::{ChannelKind, LinkId};
-use crate::state::room::Room;
 use crate::wire::clock::Pulse;
 use crate::wire::link::{Exchange, LinkTask, Order, Permit};
 use std::cell::Cell;
@@ -42,7 +42,7 @@
     /// How long a link's connection may take to come up.
     pub connect_timeout: Rc<Cell<Duration>>,
     /// Room for replies that are not whole yet.
-    pub room: Room,
+    pub budget: BufferBudget,
     /// Until when what may be written to nodes.
     pub permit: Permit,
 }
@@ -108,7 +108,7 @@
                             orders,
                             planner: self.own.clone(),
                             pulse: self.pulse.clone(),
-                            room: self.room.clone(),
+                            budget: self.budget.clone(),
                             permit: self.permit.clone(),
                             guard: self.planner.guard().clone(),
                             queue: VecDeque::new(),
--- a/src/run/folder.rs
+++ b/src/run/folder.rs
@@ -3,7 +3,7 @@
 //!
 //! The hand-over file is written aside and renamed into place, so a reader finds a whole one or none.
 
-use crate::state::handover::{Handover, Process, MOST_BYTES};
+use crate::state::handover::{Handover, Process, MAX_BYTES};
 use std::collections::BTreeSet;
 use std::fs::{File, TryLockError};
 use std::io::{Error, ErrorKind, Read};
@@ -71,7 +71,7 @@
 fn read_whole(path: &Path) -> std::io::Result<Option<Handover>> {
     let mut text = Vec::new();
     match File::open(path) {
-        Ok(file) => file.take(MOST_BYTES as u64 + 1).read_to_end(&mut text)?,
+        Ok(file) => file.take(MAX_BYTES as u64 + 1).read_to_end(&mut text)?,
         Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
         Err(error) => return Err(error),
     };
@@ -188,7 +188,7 @@
 pub fn leave(path: &Path, id: u64) {
     let locked = take_lock(&path.with_extension("lock"), TRIES).ok();
     if let Some(mut handover) = read(path).filter(|_| locked.is_some()) {
-        handover.forget(id);
+        handover.remove(id);
         put(path, id, &handover);
     }
     let _ = std::fs::remove_file(living(path, id));
--- a/src/run/front.rs
+++ b/src/run/front.rs
@@ -3,9 +3,9 @@
 use super::socket_age::SocketAges;
 use crate::interface::Time;
 use crate::state::accept_queue::AcceptQueue;
+use crate::state::client_slots::ClientSlots;
 use crate::state::phase::Phase;
 use crate::state::planner::Wire;
-use crate::state::seats::Seats;
 use crate::wire::clock::Clock;
 use crate::wire::session::{serve, Admission, Session, Site, Visit};
 use crate::wire::socket::{accepted_now, unread, Unread};
@@ -36,7 +36,7 @@
     /// What their sessions share.
     pub site: Site<W>,
     /// Those that are connected.
-    pub seats: Seats,
+    pub slots: ClientSlots,
     /// How many there may be.
     pub most: Rc<Cell<usize>>,
     /// How long a connection may wait for a place, in microseconds, by the settings in force.
@@ -59,10 +59,10 @@
 }
 
 /// Sweeps the deadlines of a front's clients for good.
-pub async fn sweep(seats: Seats, clock: Clock) {
+pub async fn sweep(slots: ClientSlots, clock: Clock) {
     loop {
         tokio::time::sleep(SWEEP).await;
-        seats.sweep(clock.now());
+        slots.sweep(clock.now());
     }
 }
 
@@ -88,7 +88,7 @@
             // Another process that took them in its place may be gone.
             let last = match phase.wait_for(|phase| accepts(phase) || phase.is_terminating()).await {
                 Ok(phase) if accepts(&phase) => {
-                    self.note(|queue, now| queue.taken_back(now));
+                    self.note(|queue, now| queue.resume(now));
                     continue;
                 }
                 Ok(phase) => matches!(*phase, Phase::Closing(..)),
@@ -105,7 +105,7 @@
     async fn take_last<S: Session<W>>(&self, session: &impl Fn() -> S) {
         // What is there is seen only after a look at the sockets.
         tokio::time::sleep(FULL_RETRY).await;
-        self.note(AcceptQueue::waits);
+        self.note(AcceptQueue::mark_waiting);
         // The system itself is asked: what the runtime knows of the listener may be old.
         let Ok(listener) = self.listener.as_fd().try_clone_to_owned().map(std::net::TcpListener::from) else {
             return;
@@ -144,15 +144,15 @@
     /// Asks those that can be spared to leave, and gives them a moment.
     async fn make_room(&self) {
         let now = self.site.pulse.now();
-        let press = self.queue.get().press(now);
-        while self.seats.call_spare(now, press) {}
+        let press = self.queue.get().pressure(now);
+        while self.slots.evict_one(now, press) {}
         tokio::time::sleep(FULL_RETRY).await;
     }
 
     /// The earliest moment at which what lies on a connection may have come that is accepted now.
     fn arrival(&self, stream: &TcpStream) -> Time {
         let queue = self.queue.get();
-        let known = queue.arrived(self.site.pulse.came());
+        let known = queue.earliest_arrival(self.site.pulse.came());
         if !queue.is_unattended() || unread(stream) != Unread::Bytes {
             return known;
         }
@@ -162,7 +162,7 @@
 
     fn serve<S: Session<W>>(&self, next: Accepted, session: &impl Fn() -> S, admission: Admission) {
         let Accepted { stream, arrived } = next;
-        let visit = Visit { seat: self.seats.take(), arrived, admission };
+        let visit = Visit { slot: self.slots.take(), arrived, admission };
         tokio::task::spawn_local(serve(stream, session(), self.site.clone(), visit));
     }
 
@@ -177,7 +177,7 @@
         self.accept_waiting().await;
         self.make_room().await;
         let places = self.most.get()..self.most.get() + MOST_REFUSED;
-        while places.contains(&self.seats.len()) && self.is_too_late() {
+        while places.contains(&self.slots.len()) && self.is_too_late() {
             self.serve_waiting(session, Admission::Refused);
             if !self.accept_waiting().await {
                 return;
@@ -187,7 +187,7 @@
 
     /// Whether connections have waited for so long that they are refused rather than wait any more.
     fn is_too_late(&self) -> bool {
-        self.queue.get().waited(self.site.pulse.now()) > (self.patience)()
+        self.queue.get().max_wait(self.site.pulse.now()) > (self.patience)()
     }
 
     /// Accepts the connection that is to wait for a place; whether there is one.
@@ -198,14 +198,14 @@
         match accepted_now(&self.listener).await {
             Some(Ok(stream)) => {
                 let next = self.accepted(stream);
-                self.note(AcceptQueue::waits);
+                self.note(AcceptQueue::mark_waiting);
                 self.waiting.replace(Some(next));
                 true
             }
             // The next look meets the error again.
             Some(Err(_)) => false,
             None => {
-                self.note(|queue, _| queue.is_empty_now());
+                self.note(|queue, _| queue.mark_empty());
                 false
             }
         }
@@ -227,7 +227,7 @@
             tokio::time::sleep(FULL_RETRY).await;
         }
         loop {
-            while self.seats.len() >= self.most.get() {
+            while self.slots.len() >= self.most.get() {
                 self.wait_for_a_place(session).await;
             }
             if self.waiting.borrow().is_some() {
@@ -237,17 +237,17 @@
             let accepted = match accepted_now(&self.listener).await {
                 Some(accepted) => accepted,
                 None => {
-                    self.note(|queue, _| queue.is_empty_now());
+                    self.note(|queue, _| queue.mark_empty());
                     self.listener.accept().await.map(|(stream, _)| stream)
                 }
             };
-            self.note(AcceptQueue::waits);
+            self.note(AcceptQueue::mark_waiting);
             match accepted {
                 Ok(stream) => self.serve(self.accepted(stream), session, Admission::Served),
                 Err(error) => {
                     if said.is_none_or(|at: Instant| at.elapsed() > SAID_AGAIN) {
                         said = Some(Instant::now());
-                        tracing::warn!(%error, clients = self.seats.len(), "cannot accept");
+                        tracing::warn!(%error, clients = self.slots.len(), "cannot accept");
                     }
                     self.make_room().await;
                 }
--- a/src/run/handover.rs
+++ b/src/run/handover.rs
@@ -4,11 +4,11 @@
 use super::folder::{self, off_thread, Place, Sight};
 use crate::interface::{ListKind, Time};
 use crate::state::handover::{Handover, NodeLeft, Process};
+use crate::state::maintenance::Maintenance;
 use crate::state::parts::{self, Step};
 use crate::state::phase::{Phase, Transition};
 use crate::state::planner::{Input, ListedNode, Wire};
 use crate::state::pool::SUPERSEDED_LINKS;
-use crate::state::upkeep::Upkeep;
 use crate::wire::admin::desk::{step, Keep};
 use crate::wire::clock::Clock;
 use std::cell::{Cell, RefCell};
@@ -40,7 +40,7 @@
     /// This process.
     pub own: Process,
     /// The operators' calls, and the list.
-    pub upkeep: Rc<RefCell<Upkeep>>,
+    pub maintenance: Rc<RefCell<Maintenance>>,
     /// Version of the list.
     pub revision: Rc<Cell<u64>>,
     /// Who wants the calls written down now.
@@ -132,7 +132,7 @@
     fn heed(&self, now: Time, beside: bool, other: Handover) -> bool {
         let successor = other.has_successor(&self.own, now);
         let held = other.held_by_others(&self.own, now);
-        self.tell(self.upkeep.borrow_mut().merge(now, other.bans));
+        self.tell(self.maintenance.borrow_mut().merge(now, other.bans));
         if held.is_some() && !successor {
             // The one before lets go of its connections: what it holds is not for this one.
             let (clients, links) = (self.share)(self.descriptors.saturating_sub(held.unwrap_or(0)));
@@ -147,7 +147,7 @@
         if before != *self.phase.borrow() {
             // Cold nodes are left to the process that serves in the place of this one.
             let cold = successor.then_some(self.cold);
-            self.tell(self.upkeep.borrow_mut().leave_cold(now, cold));
+            self.tell(self.maintenance.borrow_mut().exclude_cold(now, cold));
             if successor {
                 self.bound(self.clients.get(), None);
             }
@@ -211,7 +211,7 @@
         };
         let (lock, sight) = (taken.lock, taken.sight);
         let Some(Ok(mut handover)) = sight.content else { return false };
-        self.tell(self.upkeep.borrow_mut().merge(now, std::mem::take(&mut handover.bans)));
+        self.tell(self.maintenance.borrow_mut().merge(now, std::mem::take(&mut handover.bans)));
         let few = if self.own.ready { 0 } else { SUPERSEDED_LINKS };
         (self.own.beat, self.own.held) = (now, taken.held.map_or(self.descriptors / 2, |held| held + few));
         let own = self.own.part;
@@ -219,11 +219,11 @@
         if let Step::Raise(part) = parts::next(own, &handover.other_parts(&self.own, lives)) {
             self.own.part = part;
         }
-        handover.note(self.own, lives);
-        handover.bans = self.upkeep.borrow().bans();
+        handover.record(self.own, lives);
+        handover.bans = self.maintenance.borrow().bans();
         if handover.revision <= self.revision.get() {
             handover.revision = self.revision.get();
-            handover.nodes = self.upkeep.borrow().nodes().iter().map(NodeLeft::from).collect();
+            handover.nodes = self.maintenance.borrow().nodes().iter().map(NodeLeft::from).collect();
         }
         let put = folder::put_and_release(self.path.clone(), self.own.id, handover, lock);
         let (kept, nothing_there) = put.await;
--- a/src/run/nbd.rs
+++ b/src/run/nbd.rs
@@ -12,11 +12,11 @@
 use crate::interface::{ListKind, Time};
 use crate::state::accept_queue::AcceptQueue;
 use crate::state::agreement::Agreement;
+use crate::state::buffer_budget::BufferBudget;
+use crate::state::client_slots::ClientSlots;
 use crate::state::phase::Phase;
 use crate::state::planner::{Input, Planner};
 use crate::state::pool::PoolLimits;
-use crate::state::room::Room;
-use crate::state::seats::Seats;
 use crate::wire::clock::{Clock, Pulse};
 use crate::wire::discovery::NodeNumbers;
 use crate::wire::link::Permit;
@@ -53,7 +53,7 @@
 /// The front as it runs.
 pub struct Running {
     /// Its clients.
-    pub seats: Seats,
+    pub slots: ClientSlots,
     /// The task that takes new ones.
     pub accepting: JoinHandle<()>,
     /// Its planner.
@@ -127,18 +127,18 @@
         own: own.clone(),
         pulse: place.pulse.clone(),
         connect_timeout: Rc::new(Cell::new(bounds.connect())),
-        room: Room::new(place.limits.room),
+        budget: BufferBudget::new(place.limits.room),
         permit: place.permit,
     };
     let names = exports.clone();
     tokio::task::spawn_local(
         fleet.run(move |lane| Node::new(names.borrow().name(lane).unwrap_or_default().into())),
     );
-    let seats = Seats::default();
+    let slots = ClientSlots::default();
     let front = Front {
         listener: listen(&address)?,
         site: Site { planner: own.clone(), guard: request_guard, pulse: place.pulse, phase: place.phase },
-        seats: seats.clone(),
+        slots: slots.clone(),
         most: Rc::new(Cell::new(place.limits.clients)),
         // Clients say nothing before they are greeted, so nothing is owed to those that wait.
         patience: Box::new(|| Time::MAX),
@@ -147,7 +147,7 @@
         ages: RefCell::default(),
         waiting: RefCell::default(),
     };
-    tokio::task::spawn_local(sweep(seats.clone(), place.clock));
+    tokio::task::spawn_local(sweep(slots.clone(), place.clock));
     let accepting = tokio::task::spawn_local(front.accept(move || Client::new(exports.clone(), ids.clone())));
     let mut hangup =
         signal(SignalKind::hangup()).map_err(|error| StartError::Io { what: "SIGHUP".to_string(), error })?;
@@ -181,7 +181,7 @@
         }
     });
     tracing::info!(listen = address, "NBD front on");
-    Ok(Running { seats, accepting, planner: own, ending })
+    Ok(Running { slots, accepting, planner: own, ending })
 }
 
 fn encode(shared: &Shared) -> Bytes {
--- a/src/run/peers.rs
+++ b/src/run/peers.rs
@@ -56,11 +56,11 @@
                     _ = ticks.tick() => {
                         self.agreement.tick();
                         if self.agreement.leads_an_empty_log() {
-                            self.agreement.wish(self.first.clone());
+                            self.agreement.propose(self.first.clone());
                         }
                     }
                     Some(message) = messages.recv() => self.agreement.step(message),
-                    Some(value) = self.wishes.recv() => self.agreement.wish(value),
+                    Some(value) = self.wishes.recv() => self.agreement.propose(value),
                 }
                 // What it promises is kept on disk first, which takes as long as the disk does.
                 let mut agreement = self.agreement;
--- a/src/run/settings.rs
+++ b/src/run/settings.rs
@@ -2,8 +2,8 @@
 //! Unknown keys are ignored.
 
 use crate::interface::{Budget, Class, Effect, Group, Limit, Plan, Settings, Time};
+use crate::state::list_validity;
 use crate::state::pool::LinkSettings;
-use crate::state::told;
 use serde_json::Value;
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
     /// What the sockets of a real broker are bound by.
     pub bounds: Bounds,
     /// When changes of the list count as told, and how long a node that leaves may still be sent to.
-    pub lists: told::Terms,
+    pub lists: list_validity::Terms,
 }
 
 /// Bounds on connections. The scheduler knows of none; the simulator keeps them by itself.
@@ -258,8 +258,8 @@
         "pushed" => true,
         _ => return mode.bad("pushed or on_request"),
     };
-    let usual = told::Terms::default();
-    let lists = told::Terms {
+    let usual = list_validity::Terms::default();
+    let lists = list_validity::Terms {
         pushed,
         ask_every: rules.find("ask_every_s").map_or(Ok(usual.ask_every), |v| v.number().map(micros))?,
         grace: micros(rules.number_or_0("stop_sending_within_s")?),
--- a/src/run/start.rs
+++ b/src/run/start.rs
@@ -16,17 +16,17 @@
 use super::tuning::Tuning;
 use crate::interface::{ListKind, Time};
 use crate::state::accept_queue::AcceptQueue;
+use crate::state::buffer_budget::BufferBudget;
+use crate::state::client_slots::ClientSlots;
 use crate::state::handover::Process;
 use crate::state::interceptor::PassThrough;
+use crate::state::list_validity::ListValidity;
+use crate::state::maintenance::Maintenance;
 use crate::state::membership::mix;
 use crate::state::phase::{Phase, Transition};
 use crate::state::planner::{Input, Planner};
 use crate::state::pool::PoolLimits;
-use crate::state::room::Room;
-use crate::state::seats::Seats;
-use crate::state::starts::Starts;
-use crate::state::told::Told;
-use crate::state::upkeep::Upkeep;
+use crate::state::starts::StartTimes;
 use crate::wire::admin;
 use crate::wire::admin::desk::{step, tell, Desk};
 use crate::wire::admin::serve::MOST_CALLERS;
@@ -78,7 +78,7 @@
     let lists = Rc::new(Cell::new(config.start.lists));
     let (phase, phases) = watch::channel(Phase::default());
     let phase = Rc::new(phase);
-    let seats = Seats::default();
+    let slots = ClientSlots::default();
     let pulse = Pulse::new(clock);
     tokio::task::spawn_local(pulse.clone().run());
 
@@ -104,7 +104,7 @@
     let guard = planner.guard().clone();
     let (own, inputs) = unbounded_channel();
     let mut numbers = NodeNumbers::default();
-    let mut upkeep = Upkeep::default();
+    let mut maintenance = Maintenance::default();
     let revision = Rc::new(Cell::new(config.known.as_ref().map_or(0, |known| known.revision)));
     // The list last had comes first of all, before any request.
     let mut known = config.known.map(|known| known.into_listed(&mut numbers, &zones.borrow()));
@@ -119,24 +119,24 @@
             revision.set(left.revision);
             known = Some(left.nodes.into_iter().map(|n| n.listed(|name| numbers.number(name))).collect());
         }
-        upkeep.merge(clock.now(), left.bans);
+        maintenance.merge(clock.now(), left.bans);
     }
     if file.is_some() {
         // Until its part of the limits is on record: another process may spend by all of them.
         let _ = own.send(Input::LimitShare(0.0));
     }
-    let (mut known, mut starts) = (known.unwrap_or_default(), Starts::new(clock.now()));
+    let (mut known, mut starts) = (known.unwrap_or_default(), StartTimes::new(clock.now()));
     for listed in &mut known {
         let entry = &mut listed.member.entry;
         entry.started = starts.adopt(clock.now(), entry.node, entry.started);
     }
-    let known = upkeep.list(clock.now(), ListKind::Saved, known);
+    let known = maintenance.apply_list(clock.now(), ListKind::Saved, known);
     let _ = own.send(Input::Nodes(ListKind::Saved, known));
-    let upkeep = Rc::new(RefCell::new(upkeep));
-    let room = Room::new(limits.room);
+    let maintenance = Rc::new(RefCell::new(maintenance));
+    let budget = BufferBudget::new(limits.room);
     let connect_timeout = Rc::new(Cell::new(bounds.connect()));
     // Slow clients of large values must not use up the room of small requests.
-    let windows = Room::new(limits.windows);
+    let windows = BufferBudget::new(limits.windows);
     // A broker of a cluster sends nothing before its first lease.
     let bound = config.cluster.as_ref().is_some_and(|file| file.without_lease == WithoutLease::Stop);
     let lease = Rc::new(Cell::new(if bound { Time::MIN } else { Time::MAX }));
@@ -150,11 +150,11 @@
         own: own.clone(),
         pulse: pulse.clone(),
         connect_timeout: connect_timeout.clone(),
-        room: room.clone(),
+        budget: budget.clone(),
         permit: permit.clone(),
     };
     tokio::task::spawn_local(fleet.run(move |_| Node::new(windows.clone())));
-    let common = Rc::new(Common::new(terms, room, phases.clone()));
+    let common = Rc::new(Common::new(terms, budget, phases.clone()));
     let (moved, address) = watch::channel(config.discovery);
     let follow = Reloading {
         path: config.path,
@@ -177,8 +177,8 @@
         numbers,
         zones,
         planner: own.clone(),
-        upkeep: upkeep.clone(),
-        told: Told::new(clock.now(), lists.get(), beside, config.seed),
+        maintenance: maintenance.clone(),
+        list_validity: ListValidity::new(clock.now(), lists.get(), beside, config.seed),
         terms: lists,
         permit: permit.clone(),
         starts,
@@ -200,7 +200,7 @@
             pulse: pulse.clone(),
             phase: phases.clone(),
         },
-        seats: seats.clone(),
+        slots: slots.clone(),
         most: most.clone(),
         patience: Box::new({
             let common = common.clone();
@@ -228,7 +228,7 @@
                 part: 0.0,
                 locks: lock.is_some(),
             },
-            upkeep: upkeep.clone(),
+            maintenance: maintenance.clone(),
             revision,
             wishes: wanted,
             planner: own.clone(),
@@ -250,7 +250,7 @@
         tracing::warn!("no part of the limits yet: the process before this one has promised none");
     }
     let accepting = tokio::task::spawn_local(front.accept(move || Client::new(common.clone())));
-    tokio::task::spawn_local(sweep(seats.clone(), clock));
+    tokio::task::spawn_local(sweep(slots.clone(), clock));
     let nbd = match deploy.filter(|_| nbd_on) {
         None => None,
         Some(deploy) => {
@@ -266,14 +266,14 @@
     let cluster = match config.cluster {
         None => None,
         Some(file) => {
-            let (nodes, planner) = (upkeep.clone(), own.clone());
+            let (nodes, planner) = (maintenance.clone(), own.clone());
             let apply = Box::new(move |drains: &BTreeSet<String>| {
-                let told = nodes.borrow_mut().share(clock.now(), drains.clone());
+                let told = nodes.borrow_mut().set_shared(clock.now(), drains.clone());
                 tell(&planner, told)
             });
-            let (nodes, planner) = (upkeep.clone(), own.clone());
+            let (nodes, planner) = (maintenance.clone(), own.clone());
             let halt = Box::new(move |halted| {
-                let suspended = nodes.borrow_mut().halt(halted);
+                let suspended = nodes.borrow_mut().set_halted(halted);
                 let _ = planner.send(Input::Suspended(suspended));
             });
             let hooks = Hooks { apply, halt, permit: permit.clone() };
@@ -287,8 +287,8 @@
         let cluster = cluster.clone().map(|c| Box::new(c) as Box<dyn admin::desk::Cluster>);
         let keeper = file.is_some().then_some(keeper);
         let desk =
-            Rc::new(Desk { phase: phase.clone(), upkeep, planner: own.clone(), keeper, cluster, clock });
-        let callers = Seats::default();
+            Rc::new(Desk { phase: phase.clone(), maintenance, planner: own.clone(), keeper, cluster, clock });
+        let callers = ClientSlots::default();
         tokio::task::spawn_local(sweep(callers.clone(), clock));
         tokio::task::spawn_local(admin::serve::accept(listen_soon(address).await?, desk, callers));
         tracing::info!(address, "operators' calls");
@@ -301,7 +301,7 @@
         guard,
         phase,
         pulse,
-        seats,
+        slots,
         nbd,
         accepting,
         deadlines,
--- a/src/run/stop.rs
+++ b/src/run/stop.rs
@@ -3,10 +3,10 @@
 use super::folder::{self, off_thread};
 use super::nbd;
 use crate::interface::Time;
+use crate::state::client_slots::ClientSlots;
 use crate::state::guard::Guard;
 use crate::state::phase::{grace, last_read, Phase, Transition};
 use crate::state::planner::Input;
-use crate::state::seats::Seats;
 use crate::wire::admin::desk::step;
 use crate::wire::clock::Pulse;
 use crate::wire::resp::Resp;
@@ -41,7 +41,7 @@
     /// The time, and how late this process runs.
     pub pulse: Pulse,
     /// The clients.
-    pub seats: Seats,
+    pub slots: ClientSlots,
     /// The NBD front, if there is one.
     pub nbd: Option<nbd::Running>,
     /// The task that takes new connections.
@@ -57,7 +57,7 @@
     pub async fn run(self) {
         // The signal may have come at the beginning of a stall: the kill counts from then.
         let told = self.pulse.came();
-        tracing::info!(clients = self.seats.len(), "stopping");
+        tracing::info!(clients = self.slots.len(), "stopping");
         self.begin(told).await;
         self.pulse.sleep_until(told + STILL_ACCEPTING).await;
         // One that hands over reads on for longer, whenever it learns that it does.
@@ -65,7 +65,7 @@
             self.pulse.sleep_until(told + last_read(self.grace())).await;
         }
         self.step(Transition::Close, self.pulse.now());
-        let empty = || self.seats.is_empty() && self.nbd.as_ref().is_none_or(|n| n.seats.is_empty());
+        let empty = || self.slots.is_empty() && self.nbd.as_ref().is_none_or(|n| n.slots.is_empty());
         let emptied = async {
             // What the kernel had accepted takes its seats first. A task that is gone takes none.
             let _ = self.accepting.await;
@@ -80,7 +80,7 @@
                 }
                 tracing::info!(violations = %self.guard.violations(), "stopped");
             }
-            Err(_) => tracing::warn!(clients = self.seats.len(), "stopped with clients unanswered"),
+            Err(_) => tracing::warn!(clients = self.slots.len(), "stopped with clients unanswered"),
         }
         if let Some((path, id)) = self.hand_over {
             let left = off_thread(move || folder::leave(&path, id));
--- a/src/run/tuning.rs
+++ b/src/run/tuning.rs
@@ -3,13 +3,13 @@
 
 use super::settings::Start;
 use crate::interface::{Plan, Settings};
-use crate::state::places::{Placed, Places};
+use crate::state::stable_index::{Indexed, StableIndices};
 use crate::wire::resp::server::{ClassTerms, Terms};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 /// What stands at a place.
-type Held = Option<Rc<Placed<ClassTerms>>>;
+type Held = Option<Rc<Indexed<ClassTerms>>>;
 
 /// Most plans that a process ever knows. Volumes that stood on one are remembered for a while after it was dropped, so
 /// its place is not given away.
@@ -20,7 +20,7 @@
 /// What the settings in force are made of.
 #[derive(Default)]
 pub struct Tuning {
-    classes: Places<ClassTerms>,
+    classes: StableIndices<ClassTerms>,
     /// Every plan that there was, by place.
     plans: Vec<(String, Plan)>,
     /// Every zone that there was, by place.
@@ -142,7 +142,7 @@
     }
 
     fn places(terms: &Terms) -> Vec<(String, usize, Option<bool>)> {
-        terms.classes.iter().map(|c| (c.value.name.clone(), c.place, c.value.writes)).collect()
+        terms.classes.iter().map(|c| (c.value.name.clone(), c.index, c.value.writes)).collect()
     }
 
     /// Guards against a request whose class becomes another beneath it, and against a list of writing classes that
--- a/src/state/accept_queue.rs
+++ b/src/state/accept_queue.rs
@@ -1,7 +1,7 @@
 //! What a front knows of how long connections have waited to be accepted. What they have sent may have waited for as long, so
 //! their clients count from then. Time is handed in.
 
-use super::seats::Press;
+use super::client_slots::AcceptPressure;
 use crate::interface::Time;
 
 /// Connections that may have waited for longer than this to be accepted, in microseconds, make the silent ones leave earlier.
@@ -36,19 +36,19 @@
     }
 
     /// What comes from now on may have to wait.
-    pub fn waits(&mut self, now: Time) {
+    pub fn mark_waiting(&mut self, now: Time) {
         if self.0 == Waiting::Nobody {
             self.0 = Waiting::Since(now);
         }
     }
 
     /// This process accepts again after another one did so in its place.
-    pub fn taken_back(&mut self, now: Time) {
+    pub fn resume(&mut self, now: Time) {
         self.0 = Waiting::Unattended(now);
     }
 
     /// It was seen empty.
-    pub fn is_empty_now(&mut self) {
+    pub fn mark_empty(&mut self) {
         self.0 = Waiting::Nobody;
     }
 
@@ -58,7 +58,7 @@
     }
 
     /// The earliest moment at which a connection that is accepted `now` may have come, as far as this process knows.
-    pub fn arrived(&self, now: Time) -> Time {
+    pub fn earliest_arrival(&self, now: Time) -> Time {
         match self.0 {
             Waiting::Nobody => now,
             Waiting::Since(at) | Waiting::Unattended(at) => at.min(now),
@@ -66,16 +66,16 @@
     }
 
     /// How long connections may have waited by now.
-    pub fn waited(&self, now: Time) -> Time {
-        now - self.arrived(now)
+    pub fn max_wait(&self, now: Time) -> Time {
+        now - self.earliest_arrival(now)
     }
 
     /// How much the connections that wait press for places.
-    pub fn press(&self, now: Time) -> Press {
-        match self.waited(now) {
-            waited if waited <= LONG_WAIT => Press::Usual,
-            waited if waited <= TOO_LONG_WAIT => Press::High,
-            _ => Press::Urgent,
+    pub fn pressure(&self, now: Time) -> AcceptPressure {
+        match self.max_wait(now) {
+            waited if waited <= LONG_WAIT => AcceptPressure::Normal,
+            waited if waited <= TOO_LONG_WAIT => AcceptPressure::High,
+            _ => AcceptPressure::Urgent,
         }
     }
 }
--- a/src/state/activity.rs
+++ b/src/state/activity.rs
@@ -1,6 +1,6 @@
 //! What a client's connection has done lately, and what that says of when it may be closed. Time is handed in.
 
-use super::seats::Spare;
+use super::client_slots::EvictReason;
 use crate::interface::Time;
 
 /// How long a connection may have nothing open, or a command unfinished: not more, since clients have only so
@@ -87,11 +87,11 @@
     }
 
     /// Why the connection may be asked to leave while nothing is open on it, and since when.
-    pub fn spare(&self) -> (Spare, Time) {
+    pub fn spare(&self) -> (EvictReason, Time) {
         match self.begun {
-            Some(begun) => (Spare::Unfinished, begun),
-            None if self.used => (Spare::Idle, self.since),
-            None => (Spare::Silent, self.accepted),
+            Some(begun) => (EvictReason::Unfinished, begun),
+            None if self.used => (EvictReason::Idle, self.since),
+            None => (EvictReason::Silent, self.accepted),
         }
     }
 
--- a/src/state/agreement.rs
+++ b/src/state/agreement.rs
@@ -26,7 +26,7 @@
     Raft(#[from] raft::Error),
     /// What must outlive a restart could not be kept.
     #[error("{path}: {error}")]
-    Keep {
+    Store {
         /// The file.
         path: String,
         /// What writing or reading it said.
@@ -85,7 +85,7 @@
     /// Lets a tick of time pass.
     pub fn tick(&mut self) {
         self.node.tick();
-        self.press();
+        self.repropose();
     }
 
     /// Takes a message of a peer. One that makes no sense here is dropped, as one lost on the way would be.
@@ -97,9 +97,9 @@
 
     /// Wishes a value to be agreed on. It is put forward until it is: what goes to a leader that has just
     /// gone is lost.
-    pub fn wish(&mut self, value: Bytes) {
+    pub fn propose(&mut self, value: Bytes) {
         self.wish = Some((value, 0));
-        self.press();
+        self.repropose();
     }
 
     /// Whether this instance leads and nothing has ever been put into the log but the leader's empty entry.
@@ -109,7 +109,7 @@
             && self.wish.is_none()
     }
 
-    fn press(&mut self) {
+    fn repropose(&mut self) {
         let Some((value, wait)) = &mut self.wish else { return };
         *wait = wait.saturating_sub(1);
         let led = self.node.raft.leader_id != raft::INVALID_ID;
@@ -174,7 +174,7 @@
             file.sync_all()?;
             std::fs::rename(&new, path)
         };
-        write().map_err(|error| AgreementError::Keep { path: path.display().to_string(), error })
+        write().map_err(|error| AgreementError::Store { path: path.display().to_string(), error })
     }
 }
 
@@ -197,7 +197,7 @@
     let bytes = match std::fs::read(path) {
         Ok(bytes) => bytes,
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(None),
-        Err(error) => return Err(AgreementError::Keep { path: name, error }),
+        Err(error) => return Err(AgreementError::Store { path: name, error }),
     };
     let damaged = || AgreementError::Damaged(name.clone());
     let (mut state, mut log, mut rest) = (None, Vec::new(), &bytes[..]);
@@ -254,17 +254,17 @@
             (id, Agreement::new(id, &[1, 2, 3], kept).unwrap())
         };
         let mut all: Vec<(u64, Agreement)> = (1..=3).map(new).collect();
-        all[2].1.wish("one".into());
+        all[2].1.propose("one".into());
         assert_eq!(pass(&mut all, 120), vec![vec![Bytes::from("one")]; 3]);
         drop(all.pop());
-        all[0].1.wish("two".into());
+        all[0].1.propose("two".into());
         assert_eq!(pass(&mut all, 120), vec![vec![Bytes::from("two")]; 2]);
         all.push(new(3));
         let agreed = pass(&mut all, 120);
         assert_eq!(agreed[2], ["one", "two"], "what it had agreed on, and what it missed");
         assert!(agreed[0].is_empty() && agreed[1].is_empty());
         let mut alone = all.split_off(2);
-        alone[0].1.wish("three".into());
+        alone[0].1.propose("three".into());
         assert_eq!(pass(&mut alone, 120), [Vec::<Bytes>::new()], "one of three decides nothing");
         std::fs::write(&file, b"\0\0\0\x09junk").unwrap();
         assert!(matches!(Agreement::new(3, &[1, 2, 3], Some(file.clone())), Err(AgreementError::Damaged(_))));
--- a/src/state/room.rs
+++ b/src/state/buffer_budget.rs
@@ -5,55 +5,55 @@
 
 /// Room for what the clients of a front have open, in bytes.
 #[derive(Debug, Clone)]
-pub struct Room {
+pub struct BufferBudget {
     left: Rc<Cell<usize>>,
 }
 
-impl Default for Room {
+impl Default for BufferBudget {
     /// No room at all.
     fn default() -> Self {
-        Room::new(0)
+        BufferBudget::new(0)
     }
 }
 
-impl Room {
+impl BufferBudget {
     /// So many bytes, none of them taken.
     pub fn new(bytes: usize) -> Self {
-        Room { left: Rc::new(Cell::new(bytes)) }
+        BufferBudget { left: Rc::new(Cell::new(bytes)) }
     }
 
     /// Takes some; false if there are not so many left.
-    pub fn take(&self, bytes: usize) -> bool {
+    pub fn reserve(&self, bytes: usize) -> bool {
         let left = self.left.get().checked_sub(bytes);
         self.left.set(left.unwrap_or(self.left.get()));
         left.is_some()
     }
 
     /// Gives back what was taken.
-    pub fn give_back(&self, bytes: usize) {
+    pub fn release(&self, bytes: usize) {
         self.left.set(self.left.get() + bytes);
     }
 
     /// A part of it whose size changes; none as yet.
-    pub fn part(&self) -> Part {
-        Part { room: self.clone(), bytes: 0 }
+    pub fn empty_reservation(&self) -> Reservation {
+        Reservation { budget: self.clone(), bytes: 0 }
     }
 }
 
 /// A part of the room, given back when it is dropped.
 #[derive(Debug)]
-pub struct Part {
-    room: Room,
+pub struct Reservation {
+    budget: BufferBudget,
     bytes: usize,
 }
 
-impl Part {
+impl Reservation {
     /// Makes it that large; false, with nothing changed, if there is not so much left.
     pub fn resize(&mut self, bytes: usize) -> bool {
-        if bytes > self.bytes && !self.room.take(bytes - self.bytes) {
+        if bytes > self.bytes && !self.budget.reserve(bytes - self.bytes) {
             return false;
         }
-        self.room.give_back(self.bytes.saturating_sub(bytes));
+        self.budget.release(self.bytes.saturating_sub(bytes));
         self.bytes = bytes;
         true
     }
@@ -64,9 +64,9 @@
     }
 }
 
-impl Drop for Part {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.room.give_back(self.bytes);
+        self.budget.release(self.bytes);
     }
 }
 
@@ -76,12 +76,12 @@
 
     #[test]
     fn room_is_taken_whole_or_not_at_all() {
-        let room = Room::new(10);
-        assert!(room.take(6) && !room.take(5) && room.take(4));
-        room.give_back(6);
-        let mut part = room.part();
-        assert!(part.resize(4) && !part.resize(7) && part.resize(3) && !room.take(4));
+        let budget = BufferBudget::new(10);
+        assert!(budget.reserve(6) && !budget.reserve(5) && budget.reserve(4));
+        budget.release(6);
+        let mut part = budget.empty_reservation();
+        assert!(part.resize(4) && !part.resize(7) && part.resize(3) && !budget.reserve(4));
         drop(part);
-        assert!(!room.take(7) && room.take(6));
+        assert!(!budget.reserve(7) && budget.reserve(6));
     }
 }
--- a/src/state/seats.rs
+++ b/src/state/client_slots.rs
@@ -15,7 +15,7 @@
 
 /// Why a connection may be asked to leave where seats run out; in the order in which they are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Spare {
+pub enum EvictReason {
     /// It has never said a word.
     Silent,
     /// It has left a command unfinished.
@@ -26,36 +26,36 @@
 
 /// How much others are waited for by those who are not let in yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Press {
+pub enum AcceptPressure {
     /// They have only just come.
-    Usual,
+    Normal,
     /// They have waited for long.
     High,
     /// They have waited for so long that what they have sent may come too late.
     Urgent,
 }
 
-impl Spare {
+impl EvictReason {
     /// All kinds, in their order.
-    const ALL: [Spare; 3] = [Spare::Silent, Spare::Unfinished, Spare::Idle];
+    const ALL: [EvictReason; 3] = [EvictReason::Silent, EvictReason::Unfinished, EvictReason::Idle];
 
     /// How long it must have been so, even at a full front: the first request of one that has just come may be
     /// on its way, some clients send in pieces, and a client that has its answer may go on.
-    fn grace(self, press: Press) -> Time {
+    fn grace(self, press: AcceptPressure) -> Time {
         match (self, press) {
-            (Spare::Silent, Press::Usual) => 50_000,
-            (Spare::Silent, Press::High) => 10_000,
+            (EvictReason::Silent, AcceptPressure::Normal) => 50_000,
+            (EvictReason::Silent, AcceptPressure::High) => 10_000,
             // What one of these has to say has come while it waited itself.
-            (Spare::Silent, Press::Urgent) => 2_000,
-            (Spare::Unfinished, _) => 300_000,
-            (Spare::Idle, _) => 20_000,
+            (EvictReason::Silent, AcceptPressure::Urgent) => 2_000,
+            (EvictReason::Unfinished, _) => 300_000,
+            (EvictReason::Idle, _) => 20_000,
         }
     }
 
     /// How many may be on their way out when another one of this kind is asked.
-    fn most_leaving(self, press: Press) -> usize {
+    fn most_leaving(self, press: AcceptPressure) -> usize {
         match (self, press) {
-            (Spare::Silent, Press::High | Press::Urgent) => MOST_SILENT_LEAVING,
+            (EvictReason::Silent, AcceptPressure::High | AcceptPressure::Urgent) => MOST_SILENT_LEAVING,
             _ => MOST_LEAVING,
         }
     }
@@ -64,7 +64,7 @@
 #[derive(Debug, Default)]
 struct Taken {
     /// Why it may leave and since when; nothing while it has something open.
-    spare: Cell<Option<(Spare, Time)>>,
+    spare: Cell<Option<(EvictReason, Time)>>,
     called: Cell<bool>,
     deadline: Cell<Option<Time>>,
     wake: Notify,
@@ -72,10 +72,10 @@
 
 /// The seats of a front: one for each client connection that is open.
 #[derive(Debug, Clone, Default)]
-pub struct Seats {
+pub struct ClientSlots {
     taken: Rc<RefCell<BTreeMap<u64, Rc<Taken>>>>,
     /// Those that may be asked to leave and were not yet, by why and since when.
-    spare: Rc<RefCell<BTreeSet<(Spare, Time, u64)>>>,
+    spare: Rc<RefCell<BTreeSet<(EvictReason, Time, u64)>>>,
     /// How many were asked and are still there.
     leaving: Rc<Cell<usize>>,
     /// When to look at a connection again, by the numbers of the seats.
@@ -83,7 +83,7 @@
     next: Rc<Cell<u64>>,
 }
 
-impl Seats {
+impl ClientSlots {
     /// How many are taken.
     pub fn len(&self) -> usize {
         self.taken.borrow().len()
@@ -95,18 +95,18 @@
     }
 
     /// Takes a seat, given back when it is dropped.
-    pub fn take(&self) -> Seat {
+    pub fn take(&self) -> ClientSlot {
         self.next.set(self.next.get() + 1);
         let number = self.next.get();
         let taken = Rc::new(Taken::default());
         self.taken.borrow_mut().insert(number, taken.clone());
-        Seat { number, taken, seats: self.clone() }
+        ClientSlot { number, taken, seats: self.clone() }
     }
 
     /// Asks the connection to leave that can be spared most, and of several the one for longest; false if
     /// none is asked.
-    pub fn call_spare(&self, now: Time, press: Press) -> bool {
-        let first_of = |why: Spare| {
+    pub fn evict_one(&self, now: Time, press: AcceptPressure) -> bool {
+        let first_of = |why: EvictReason| {
             if self.leaving.get() >= why.most_leaving(press) {
                 return None;
             }
@@ -114,7 +114,7 @@
             let first = spare.range((why, Time::MIN, 0)..).next().copied();
             first.filter(|(of, since, _)| *of == why && now - since >= why.grace(press))
         };
-        let Some(first) = Spare::ALL.into_iter().find_map(first_of) else { return false };
+        let Some(first) = EvictReason::ALL.into_iter().find_map(first_of) else { return false };
         self.spare.borrow_mut().remove(&first);
         if let Some(taken) = self.taken.borrow().get(&first.2) {
             taken.called.set(true);
@@ -137,15 +137,15 @@
 
 /// A seat that is taken.
 #[derive(Debug)]
-pub struct Seat {
+pub struct ClientSlot {
     number: u64,
     taken: Rc<Taken>,
-    seats: Seats,
+    seats: ClientSlots,
 }
 
-impl Seat {
+impl ClientSlot {
     /// Notes why the connection may be asked to leave, if it may, and since when.
-    pub fn set_spare(&self, spare: Option<(Spare, Time)>) {
+    pub fn set_evictable(&self, spare: Option<(EvictReason, Time)>) {
         let before = self.taken.spare.replace(spare);
         if before == spare || self.taken.called.get() {
             return;
@@ -160,7 +160,7 @@
     }
 
     /// Whether it has been asked to leave.
-    pub fn is_called(&self) -> bool {
+    pub fn is_close_requested(&self) -> bool {
         self.taken.called.get()
     }
 
@@ -179,15 +179,15 @@
     }
 
     /// Waits until it is asked to leave or its deadline is over.
-    pub async fn called(&self) {
+    pub async fn woken(&self) {
         self.taken.wake.notified().await;
     }
 }
 
-impl Drop for Seat {
+impl Drop for ClientSlot {
     fn drop(&mut self) {
         self.set_deadline(None);
-        self.set_spare(None);
+        self.set_evictable(None);
         if self.taken.called.get() {
             self.seats.leaving.set(self.seats.leaving.get().saturating_sub(1));
         }
@@ -201,38 +201,38 @@
 
     #[test]
     fn the_silent_are_asked_to_leave_first_and_the_busy_never() {
-        let seats = Seats::default();
-        let all: Vec<Seat> = (0..5).map(|_| seats.take()).collect();
+        let seats = ClientSlots::default();
+        let all: Vec<ClientSlot> = (0..5).map(|_| seats.take()).collect();
         const MS: Time = 1_000;
         let spare = [
             None,
-            Some((Spare::Idle, 200 * MS)),
-            Some((Spare::Idle, 100 * MS)),
-            Some((Spare::Unfinished, 300 * MS)),
-            Some((Spare::Silent, 400 * MS)),
+            Some((EvictReason::Idle, 200 * MS)),
+            Some((EvictReason::Idle, 100 * MS)),
+            Some((EvictReason::Unfinished, 300 * MS)),
+            Some((EvictReason::Silent, 400 * MS)),
         ];
-        all.iter().zip(spare).for_each(|(seat, spare)| seat.set_spare(spare));
-        let called = || all.iter().map(Seat::is_called).collect::<Vec<bool>>();
-        assert!(!seats.call_spare(119 * MS, Press::Usual), "each has its time");
-        assert!(seats.call_spare(400 * MS, Press::Usual), "the one idle for longest");
+        all.iter().zip(spare).for_each(|(seat, spare)| seat.set_evictable(spare));
+        let called = || all.iter().map(ClientSlot::is_close_requested).collect::<Vec<bool>>();
+        assert!(!seats.evict_one(119 * MS, AcceptPressure::Normal), "each has its time");
+        assert!(seats.evict_one(400 * MS, AcceptPressure::Normal), "the one idle for longest");
         assert_eq!(called(), [false, false, true, false, false]);
         assert!(
-            seats.call_spare(450 * MS, Press::Usual),
+            seats.evict_one(450 * MS, AcceptPressure::Normal),
             "one that has just come has its time, and then goes first"
         );
         assert_eq!(called(), [false, false, true, false, true]);
         assert!(
-            seats.call_spare(800 * MS, Press::Usual)
-                && seats.call_spare(800 * MS, Press::Usual)
-                && !seats.call_spare(800 * MS, Press::Usual)
+            seats.evict_one(800 * MS, AcceptPressure::Normal)
+                && seats.evict_one(800 * MS, AcceptPressure::Normal)
+                && !seats.evict_one(800 * MS, AcceptPressure::Normal)
         );
         assert_eq!(called(), [false, true, true, true, true]);
         drop(all);
         assert!(seats.is_empty() && seats.spare.borrow().is_empty() && seats.leaving.get() == 0);
-        let more: Vec<Seat> = (0..2 * MOST_LEAVING).map(|_| seats.take()).collect();
-        more.iter().for_each(|s| s.set_spare(Some((Spare::Idle, 0))));
+        let more: Vec<ClientSlot> = (0..2 * MOST_LEAVING).map(|_| seats.take()).collect();
+        more.iter().for_each(|s| s.set_evictable(Some((EvictReason::Idle, 0))));
         assert_eq!(
-            (0..2 * MOST_LEAVING).filter(|_| seats.call_spare(MS * MS, Press::Usual)).count(),
+            (0..2 * MOST_LEAVING).filter(|_| seats.evict_one(MS * MS, AcceptPressure::Normal)).count(),
             MOST_LEAVING
         );
     }
@@ -240,16 +240,18 @@
     /// Guards against requests that wait too long behind connections which say nothing.
     #[test]
     fn the_silent_leave_earlier_where_others_have_waited_for_long() {
-        let seats = Seats::default();
+        let seats = ClientSlots::default();
         let seat = seats.take();
-        seat.set_spare(Some((Spare::Silent, 0)));
-        assert!(!seats.call_spare(20_000, Press::Usual) && seats.call_spare(20_000, Press::High));
-        assert!(!seats.call_spare(20_000, Press::High), "asked once");
+        seat.set_evictable(Some((EvictReason::Silent, 0)));
+        assert!(
+            !seats.evict_one(20_000, AcceptPressure::Normal) && seats.evict_one(20_000, AcceptPressure::High)
+        );
+        assert!(!seats.evict_one(20_000, AcceptPressure::High), "asked once");
     }
 
     #[test]
     fn a_seat_has_one_deadline_and_takes_it_along() {
-        let seats = Seats::default();
+        let seats = ClientSlots::default();
         let (a, b) = (seats.take(), seats.take());
         a.set_deadline(Some(10));
         a.set_deadline(Some(20));
--- a/src/state/handover.rs
+++ b/src/state/handover.rs
@@ -2,21 +2,21 @@
 //! text with a head that names its version, its length and its checksum. Reading and writing files is not done
 //! here.
 
+use super::maintenance::{Ban, NamedNode};
 use super::planner::ListedNode;
-use super::upkeep::{Ban, Listed};
 use crate::interface::{NodeEntry, NodeId, NodeState, ShardId, Time};
 use serde::{Deserialize, Serialize};
 
 /// The first word of the head, with the version of what follows.
 const HEAD: &str = "claywinch-handover-1";
 /// Longest text that is read: thousands of nodes.
-pub const MOST_BYTES: usize = 4 << 20;
+pub const MAX_BYTES: usize = 4 << 20;
 /// A process that has not been heard of for so long has ended.
 const ALIVE: Time = 1_500_000;
 
 /// Why a text is of no use.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Unusable {
+pub enum DecodeError {
     /// It is longer than any of ours.
     #[error("too long")]
     TooLong,
@@ -68,8 +68,8 @@
     size: u32,
 }
 
-impl From<&Listed> for NodeLeft {
-    fn from(listed: &Listed) -> Self {
+impl From<&NamedNode> for NodeLeft {
+    fn from(listed: &NamedNode) -> Self {
         let (entry, address) = (&listed.member.entry, &listed.member.address);
         NodeLeft {
             name: listed.name.clone(),
@@ -85,11 +85,11 @@
 
 impl NodeLeft {
     /// As a list names it, with its number.
-    pub fn listed(self, number: impl FnOnce(&str) -> NodeId) -> Listed {
+    pub fn listed(self, number: impl FnOnce(&str) -> NodeId) -> NamedNode {
         let state = if self.draining { NodeState::Draining } else { NodeState::Up };
         let (zone, shard, started, size) = (self.zone, self.shard, self.started, self.size);
         let entry = NodeEntry { node: number(&self.name), zone, shard, state, started, size };
-        Listed { name: self.name, member: ListedNode { entry, address: self.address } }
+        NamedNode { name: self.name, member: ListedNode { entry, address: self.address } }
     }
 }
 
@@ -116,23 +116,23 @@
     }
 
     /// Reads such a text.
-    pub fn decode(text: &[u8]) -> Result<Self, Unusable> {
-        if text.len() > MOST_BYTES {
-            return Err(Unusable::TooLong);
+    pub fn decode(text: &[u8]) -> Result<Self, DecodeError> {
+        if text.len() > MAX_BYTES {
+            return Err(DecodeError::TooLong);
         }
         let head = format!("{HEAD} ");
-        let rest = text.strip_prefix(head.as_bytes()).ok_or(Unusable::Head)?;
-        let end = rest.iter().position(|b| *b == b'\n').ok_or(Unusable::Head)?;
+        let rest = text.strip_prefix(head.as_bytes()).ok_or(DecodeError::Head)?;
+        let end = rest.iter().position(|b| *b == b'\n').ok_or(DecodeError::Head)?;
         let (figures, body) = (String::from_utf8_lossy(&rest[..end]), &rest[end + 1..]);
         if figures != format!("{} {:08x}", body.len(), crc32c::crc32c(body)) {
-            return Err(Unusable::Damaged);
+            return Err(DecodeError::Damaged);
         }
-        serde_json::from_slice(body).map_err(|e| Unusable::Content(e.to_string()))
+        serde_json::from_slice(body).map_err(|e| DecodeError::Content(e.to_string()))
     }
 
     /// Notes that a process runs; of the others those stay that live by their locks, or that have none and were heard
     /// of lately.
-    pub fn note(&mut self, own: Process, lives: impl Fn(u64) -> bool) {
+    pub fn record(&mut self, own: Process, lives: impl Fn(u64) -> bool) {
         let stays = |p: &Process| if p.locks { lives(p.id) } else { own.beat - p.beat < 5 * ALIVE };
         self.processes.retain(|p| p.id != own.id && stays(p));
         self.processes.push(own);
@@ -145,7 +145,7 @@
     }
 
     /// Notes that a process ends.
-    pub fn forget(&mut self, id: u64) {
+    pub fn remove(&mut self, id: u64) {
         self.processes.retain(|p| p.id != id);
     }
 
@@ -207,8 +207,8 @@
             assert!(Handover::decode(&flipped).is_err(), "flipped at {at}");
         }
         let later = String::from_utf8_lossy(&text).replacen("handover-1", "handover-2", 1);
-        assert_eq!(Handover::decode(later.as_bytes()), Err(Unusable::Head));
-        assert_eq!(Handover::decode(&vec![b'x'; MOST_BYTES + 1]), Err(Unusable::TooLong));
+        assert_eq!(Handover::decode(later.as_bytes()), Err(DecodeError::Head));
+        assert_eq!(Handover::decode(&vec![b'x'; MAX_BYTES + 1]), Err(DecodeError::TooLong));
     }
 
     #[test]
@@ -225,8 +225,8 @@
         let own = process(1, 10 * S, true, 10 * S);
         let with = |other: Process| {
             let mut handover = Handover::default();
-            handover.note(own, |_| true);
-            handover.note(other, |_| true);
+            handover.record(own, |_| true);
+            handover.record(other, |_| true);
             handover
         };
         let now = 30 * S;
@@ -237,9 +237,9 @@
         assert_eq!(with(process(2, 5 * S, true, 29 * S)).held_by_others(&own, now), Some(100));
         assert_eq!(with(process(1, 10 * S, true, 29 * S)).held_by_others(&own, now), None, "itself");
         let mut handover = with(process(2, 20 * S, true, 29 * S));
-        handover.forget(2);
+        handover.remove(2);
         assert_eq!(handover.held_by_others(&own, now), None);
-        (0..100).for_each(|i| handover.note(process(i, 0, true, now), |id| id == 7));
+        (0..100).for_each(|i| handover.record(process(i, 0, true, now), |id| id == 7));
         assert_eq!(
             handover.processes.iter().map(|p| p.id).collect::<Vec<_>>(),
             [7, 99],
@@ -252,8 +252,8 @@
     fn a_part_is_held_for_as_long_as_its_process_lives() {
         let (own, old) = (process(1, 0, true, 0), process(2, 0, true, -1000 * S));
         let mut handover = Handover::default();
-        handover.note(old, |_| true);
-        handover.note(own, |_| true);
+        handover.record(old, |_| true);
+        handover.record(own, |_| true);
         assert_eq!(handover.other_parts(&own, |_| true), [0.5], "silent, but its lock is held");
         assert_eq!(handover.other_parts(&own, |_| false), [0.0; 0]);
         let bare = r#"{"id":3,"started":0,"ready":true,"beat":0,"held":9}"#;
--- a/src/state/told.rs
+++ b/src/state/list_validity.rs
@@ -51,13 +51,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
     /// Nobody listens there: whoever keeps the list is away.
-    Away,
+    Refused,
     /// It ended in words: a status, or a reset before any.
-    Ended,
+    Rejected,
     /// Something came that is no whole list: what it should have held counts as told, since it was written.
-    Spoilt,
+    Malformed,
     /// It never reached discovery: the connection did not come up.
-    NotUp,
+    NotConnected,
 }
 
 /// A call that is out.
@@ -82,7 +82,7 @@
 
 /// The account of one broker and one discovery.
 #[derive(Debug)]
-pub struct Told {
+pub struct ListValidity {
     terms: Terms,
     seed: u64,
     /// From when on something may count as told that only an answer can bring; ends with the next one.
@@ -96,7 +96,7 @@
     answered: Option<Time>,
 }
 
-impl Told {
+impl ListValidity {
     /// The account of a process that starts at `now`, beside another one of its broker or not.
     pub fn new(now: Time, terms: Terms, beside: bool, seed: u64) -> Self {
         let open = match (terms.pushed, beside) {
@@ -104,16 +104,16 @@
             (false, true) => Some(now + BESIDE),
             (false, false) => None,
         };
-        Told { terms, seed, open, known: now, out: None, next_call: now, failures: 0, answered: None }
+        ListValidity { terms, seed, open, known: now, out: None, next_call: now, failures: 0, answered: None }
     }
 
     /// New settings.
-    pub fn retune(&mut self, terms: Terms) {
+    pub fn set_terms(&mut self, terms: Terms) {
         self.terms = terms;
     }
 
     /// From when on something that is not known here may count as told.
-    pub fn holds_until(&self) -> Time {
+    pub fn valid_until(&self) -> Time {
         let free = match (self.terms.pushed, self.open) {
             (false, _) => self.known + self.terms.ask_every.min(SILENCE),
             (true, None) => self.known,
@@ -130,11 +130,11 @@
 
     /// Until when anything new may be sent by the list that is held. Half of the grace is kept for what lies between a
     /// decision and its first byte.
-    pub fn sends_until(&self) -> Time {
-        self.holds_until() + self.terms.grace / 2
+    pub fn send_until(&self) -> Time {
+        self.valid_until() + self.terms.grace / 2
     }
 
-    /// When to look at [`Told::step`] again at the latest.
+    /// When to look at [`ListValidity::step`] again at the latest.
     pub fn next_deadline(&self) -> Time {
         self.out.map_or(self.next_call, given_up_at)
     }
@@ -169,23 +169,23 @@
     /// The call that was out has failed.
     pub fn failed(&mut self, now: Time, failure: Failure) {
         let call = self.out.take();
-        if failure == Failure::Spoilt {
+        if failure == Failure::Malformed {
             self.open = Some(self.open.map_or(now, |open| open.min(now)));
         }
         let known = match (call, failure) {
             // A watch that ends in words was open until now.
-            (Some(call), Failure::Away | Failure::Ended) if call.continues => Some(now),
+            (Some(call), Failure::Refused | Failure::Rejected) if call.continues => Some(now),
             // Nobody listened when it was made.
-            (Some(call), Failure::Away) => Some(call.at),
+            (Some(call), Failure::Refused) => Some(call.at),
             // Discovery itself said no: it could not be reached by this broker then. An agent may still have had news.
-            (Some(call), Failure::Ended) if !self.terms.pushed => Some(call.at),
+            (Some(call), Failure::Rejected) if !self.terms.pushed => Some(call.at),
             _ => None,
         };
         self.known = self.known.max(known.unwrap_or(self.known));
         let every = self.terms.ask_every;
         let gap = match (self.terms.pushed, self.open) {
             // The next may be whole; if it is not, there is no hurry that helps.
-            _ if failure == Failure::Spoilt && self.failures == 0 => 0,
+            _ if failure == Failure::Malformed && self.failures == 0 => 0,
             (true, _) => self.terms.grace / 4,
             (false, Some(_)) => (every / 20).min(SILENCE / 12),
             (false, None) => ((every / 20) << self.failures.min(16)).min(every * 2 / 5).min(MOST_GAP),
@@ -195,7 +195,7 @@
     }
 
     /// SIGHUP has moved discovery; the call that was out is let go.
-    pub fn moved(&mut self, now: Time) {
+    pub fn endpoint_changed(&mut self, now: Time) {
         let told = now + MOVED;
         self.open = Some(self.open.map_or(told, |open| open.min(told)));
         (self.out, self.next_call, self.answered) = (None, now, None);
--- a/src/state/upkeep.rs
+++ b/src/state/maintenance.rs
@@ -15,7 +15,7 @@
 
 /// A node of a list with the name that staff know it by.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Listed {
+pub struct NamedNode {
     /// Its name.
     pub name: String,
     /// What the planner is told.
@@ -48,9 +48,9 @@
 
 /// Nodes as last listed, and which of them staff have taken out.
 #[derive(Debug, Default)]
-pub struct Upkeep {
+pub struct Maintenance {
     /// As the list says, without what is laid over it; those that are gone are not among them.
-    nodes: BTreeMap<NodeId, Listed>,
+    nodes: BTreeMap<NodeId, NamedNode>,
     /// Every name that was listed, with its number and when it was last; the oldest go first.
     names: BTreeMap<String, (NodeId, u64)>,
     seen: BTreeMap<u64, String>,
@@ -67,9 +67,9 @@
     left_cold: Option<Time>,
 }
 
-impl Upkeep {
+impl Maintenance {
     /// Takes a list and gives it as the planner is to be told.
-    pub fn list(&mut self, now: Time, kind: ListKind, list: Vec<Listed>) -> Vec<ListedNode> {
+    pub fn apply_list(&mut self, now: Time, kind: ListKind, list: Vec<NamedNode>) -> Vec<ListedNode> {
         if matches!(kind, ListKind::Full | ListKind::Saved) {
             self.nodes.clear();
         }
@@ -100,7 +100,7 @@
         }
     }
 
-    fn laid_over(&self, now: Time, listed: &Listed) -> ListedNode {
+    fn laid_over(&self, now: Time, listed: &NamedNode) -> ListedNode {
         let mut member = listed.member.clone();
         let entry = &mut member.entry;
         if entry.state == NodeState::Up && (self.is_out(&listed.name) || self.is_left(now, entry)) {
@@ -119,37 +119,37 @@
     }
 
     /// Whether a list has ever named it, as far as that is remembered.
-    pub fn knows(&self, name: &str) -> bool {
+    pub fn was_listed(&self, name: &str) -> bool {
         self.names.contains_key(name)
     }
 
     /// Takes what is out at all brokers. Gives what the planner is to be told: of those whose names came or went.
-    pub fn share(&mut self, now: Time, shared: BTreeSet<String>) -> Vec<ListedNode> {
+    pub fn set_shared(&mut self, now: Time, shared: BTreeSet<String>) -> Vec<ListedNode> {
         let before = std::mem::replace(&mut self.shared, shared);
         let moved: Vec<&String> = before.symmetric_difference(&self.shared).collect();
         let numbers = moved.into_iter().filter_map(|name| self.names.get(name)).map(|(node, _)| *node);
         let listed = numbers.filter_map(|node| self.nodes.get(&node));
         // One that is banned here, too, is out on either word.
-        let banned = |l: &&Listed| self.bans.get(&l.name).is_some_and(|ban| ban.out);
+        let banned = |l: &&NamedNode| self.bans.get(&l.name).is_some_and(|ban| ban.out);
         listed.filter(|l| !banned(l)).map(|listed| self.laid_over(now, listed)).collect()
     }
 
     /// Nothing may be sent to any node now, or it may again. Gives whether nothing may for any reason.
-    pub fn halt(&mut self, halted: bool) -> bool {
+    pub fn set_halted(&mut self, halted: bool) -> bool {
         self.halted = halted;
         self.is_suspended()
     }
 
     /// The list that is held may lack what counts as told, or it does no longer. Gives whether nothing may be sent for
     /// any reason.
-    pub fn outdate(&mut self, outdated: bool) -> bool {
+    pub fn set_outdated(&mut self, outdated: bool) -> bool {
         self.outdated = outdated;
         self.is_suspended()
     }
 
     /// Takes a list and gives only what has changed by it, as the planner is to be told; of a whole list those that are
     /// missing, too, first of all. What it costs beside that grows with the list, not with the square of it.
-    pub fn changes(&mut self, now: Time, kind: ListKind, list: Vec<Listed>) -> Vec<ListedNode> {
+    pub fn apply_changes(&mut self, now: Time, kind: ListKind, list: Vec<NamedNode>) -> Vec<ListedNode> {
         let mut told = Vec::new();
         if kind != ListKind::Changes {
             let named: BTreeSet<NodeId> = list.iter().map(|l| l.member.entry.node).collect();
@@ -158,12 +158,12 @@
                 listed.member.entry.state = NodeState::Gone;
                 listed
             });
-            let gone: Vec<Listed> = gone.collect();
-            told = self.list(now, ListKind::Changes, gone);
+            let gone: Vec<NamedNode> = gone.collect();
+            told = self.apply_list(now, ListKind::Changes, gone);
         }
-        let news = |l: &Listed| self.nodes.get(&l.member.entry.node) != Some(l);
+        let news = |l: &NamedNode| self.nodes.get(&l.member.entry.node) != Some(l);
         let changed = list.into_iter().filter(news).collect();
-        let mut changed = self.list(now, ListKind::Changes, changed);
+        let mut changed = self.apply_list(now, ListKind::Changes, changed);
         // Those that are to be sent nothing more come before those that may be sent something.
         changed.sort_by_key(|member| member.entry.state == NodeState::Up);
         told.extend(changed);
@@ -177,7 +177,7 @@
 
     /// Takes a node out, or puts it back. Gives what the planner is to be told: nothing if it is so already, or if
     /// the list does not name the node now.
-    pub fn call(&mut self, now: Time, name: &str, out: bool) -> Result<Vec<ListedNode>, Refused> {
+    pub fn set_out(&mut self, now: Time, name: &str, out: bool) -> Result<Vec<ListedNode>, Refused> {
         let known = self.names.get(name).map(|(node, _)| *node);
         let node = known.or(self.bans.get(name).map(|ban| ban.node)).ok_or(Refused::NeverListed)?;
         if out && !self.is_out(name) && self.bans.values().filter(|ban| ban.out).count() >= MOST_OUT {
@@ -215,13 +215,13 @@
 
     /// Leaves nodes that started less than `cold` ago to the process that takes over, or no longer. Gives what the
     /// planner is to be told.
-    pub fn leave_cold(&mut self, now: Time, cold: Option<Time>) -> Vec<ListedNode> {
+    pub fn exclude_cold(&mut self, now: Time, cold: Option<Time>) -> Vec<ListedNode> {
         if self.left_cold == cold {
             return Vec::new();
         }
         let before = std::mem::replace(&mut self.left_cold, cold);
         let age = before.max(cold).unwrap_or(0);
-        let young = |l: &&Listed| l.member.entry.started.is_some_and(|started| now - started < age);
+        let young = |l: &&NamedNode| l.member.entry.started.is_some_and(|started| now - started < age);
         self.nodes.values().filter(young).map(|l| self.laid_over(now, l)).collect()
     }
 
@@ -231,7 +231,7 @@
     }
 
     /// Nodes as they were last listed, with other starts.
-    pub fn dated(&self, starts: Vec<(NodeId, Time)>) -> Vec<Listed> {
+    pub fn with_starts(&self, starts: Vec<(NodeId, Time)>) -> Vec<NamedNode> {
         let dated = starts.into_iter().filter_map(|(node, at)| {
             let mut listed = self.nodes.get(&node)?.clone();
             listed.member.entry.started = Some(at);
@@ -241,13 +241,13 @@
     }
 
     /// The nodes as listed.
-    pub fn nodes(&self) -> Vec<Listed> {
+    pub fn nodes(&self) -> Vec<NamedNode> {
         self.nodes.values().cloned().collect()
     }
 
     /// Whether any node may be sent to.
     pub fn is_usable(&self) -> bool {
-        let up = |l: &Listed| l.member.entry.state == NodeState::Up && !self.is_out(&l.name);
+        let up = |l: &NamedNode| l.member.entry.state == NodeState::Up && !self.is_out(&l.name);
         !self.is_suspended() && self.nodes.values().any(up)
     }
 }
@@ -258,43 +258,46 @@
 
     const S: Time = 1_000_000;
 
-    fn listed(name: &str, node: NodeId, state: NodeState, started: Option<Time>) -> Listed {
+    fn listed(name: &str, node: NodeId, state: NodeState, started: Option<Time>) -> NamedNode {
         let entry = NodeEntry { node, zone: 0, shard: node, state, started, size: 0 };
-        Listed { name: name.into(), member: ListedNode { entry, address: "an address".into() } }
+        NamedNode { name: name.into(), member: ListedNode { entry, address: "an address".into() } }
     }
 
-    fn up(name: &str, node: NodeId) -> Listed {
+    fn up(name: &str, node: NodeId) -> NamedNode {
         listed(name, node, NodeState::Up, None)
     }
 
     /// Guards against a node that is taken out everywhere and served here, and one put back while it is out.
     #[test]
     fn what_is_out_at_all_brokers_is_laid_over_lists_and_ends_with_the_view() {
-        let mut u = Upkeep::default();
-        u.list(0, ListKind::Full, vec![up("a", 1), up("b", 2)]);
-        assert_eq!(states(&u.share(1, BTreeSet::from(["a".into(), "c".into()]))), [(1, NodeState::Draining)]);
-        assert_eq!(states(&u.list(2, ListKind::Changes, vec![up("c", 3)])), [(3, NodeState::Draining)]);
-        assert!(u.is_usable() && u.halt(true) && !u.is_usable());
-        assert!(u.outdate(true) && u.halt(false), "each reason by itself");
+        let mut u = Maintenance::default();
+        u.apply_list(0, ListKind::Full, vec![up("a", 1), up("b", 2)]);
+        assert_eq!(
+            states(&u.set_shared(1, BTreeSet::from(["a".into(), "c".into()]))),
+            [(1, NodeState::Draining)]
+        );
+        assert_eq!(states(&u.apply_list(2, ListKind::Changes, vec![up("c", 3)])), [(3, NodeState::Draining)]);
+        assert!(u.is_usable() && u.set_halted(true) && !u.is_usable());
+        assert!(u.set_outdated(true) && u.set_halted(false), "each reason by itself");
         let back = [(1, NodeState::Up), (3, NodeState::Up)];
-        assert_eq!(states(&u.share(5, BTreeSet::new())), back, "as listed: suspension is told apart");
-        assert!(!u.outdate(false));
-        assert!(u.is_usable() && u.knows("c") && !u.knows("d"));
+        assert_eq!(states(&u.set_shared(5, BTreeSet::new())), back, "as listed: suspension is told apart");
+        assert!(!u.set_outdated(false));
+        assert!(u.is_usable() && u.was_listed("c") && !u.was_listed("d"));
     }
 
     /// Guards against a whole list that is taken apart again for each of its nodes.
     #[test]
     fn of_a_whole_list_only_what_has_changed_is_told_and_what_leaves_comes_first() {
-        let mut u = Upkeep::default();
-        let told = u.changes(0, ListKind::Full, vec![up("a", 1), up("b", 2), up("c", 3)]);
+        let mut u = Maintenance::default();
+        let told = u.apply_changes(0, ListKind::Full, vec![up("a", 1), up("b", 2), up("c", 3)]);
         assert_eq!(told.len(), 3);
-        assert!(u.changes(1, ListKind::Full, vec![up("a", 1), up("b", 2), up("c", 3)]).is_empty());
-        u.call(2, "a", true).expect("listed");
+        assert!(u.apply_changes(1, ListKind::Full, vec![up("a", 1), up("b", 2), up("c", 3)]).is_empty());
+        u.set_out(2, "a", true).expect("listed");
         let draining = listed("c", 3, NodeState::Draining, None);
-        let told = u.changes(3, ListKind::Full, vec![up("a", 1), up("d", 4), draining]);
+        let told = u.apply_changes(3, ListKind::Full, vec![up("a", 1), up("d", 4), draining]);
         assert_eq!(states(&told), [(2, NodeState::Gone), (3, NodeState::Draining), (4, NodeState::Up)]);
         assert_eq!(u.nodes().len(), 3);
-        let told = u.changes(4, ListKind::Changes, vec![listed("a", 1, NodeState::Up, Some(S))]);
+        let told = u.apply_changes(4, ListKind::Changes, vec![listed("a", 1, NodeState::Up, Some(S))]);
         assert_eq!(states(&told), [(1, NodeState::Draining)], "a ban holds over a new start");
     }
 
@@ -306,57 +309,57 @@
     #[test]
     fn a_ban_holds_over_every_list_until_the_call_back() {
         use NodeState::*;
-        let mut upkeep = Upkeep::default();
+        let mut maintenance = Maintenance::default();
         let both = || vec![up("a", 1), up("b", 2)];
-        assert_eq!(states(&upkeep.list(0, ListKind::Full, both())), [(1, Up), (2, Up)]);
-        assert_eq!(states(&upkeep.call(S, "a", true).expect("listed")), [(1, Draining)]);
-        assert_eq!(upkeep.call(S, "a", true).as_deref(), Ok(&[][..]), "said again");
+        assert_eq!(states(&maintenance.apply_list(0, ListKind::Full, both())), [(1, Up), (2, Up)]);
+        assert_eq!(states(&maintenance.set_out(S, "a", true).expect("listed")), [(1, Draining)]);
+        assert_eq!(maintenance.set_out(S, "a", true).as_deref(), Ok(&[][..]), "said again");
         for kind in [ListKind::Full, ListKind::Saved, ListKind::Changes] {
-            assert_eq!(states(&upkeep.list(2 * S, kind, both())), [(1, Draining), (2, Up)]);
+            assert_eq!(states(&maintenance.apply_list(2 * S, kind, both())), [(1, Draining), (2, Up)]);
         }
         // It goes, and comes back at another address with a new start.
         let gone = listed("a", 1, Gone, None);
-        assert_eq!(states(&upkeep.list(3 * S, ListKind::Changes, vec![gone])), [(1, Gone)]);
+        assert_eq!(states(&maintenance.apply_list(3 * S, ListKind::Changes, vec![gone])), [(1, Gone)]);
         let mut back = listed("a", 1, Up, Some(4 * S));
         back.member.address = "another address".into();
-        assert_eq!(states(&upkeep.list(4 * S, ListKind::Changes, vec![back])), [(1, Draining)]);
-        let told = upkeep.call(5 * S, "a", false).expect("listed");
+        assert_eq!(states(&maintenance.apply_list(4 * S, ListKind::Changes, vec![back])), [(1, Draining)]);
+        let told = maintenance.set_out(5 * S, "a", false).expect("listed");
         assert_eq!((told[0].entry.state, told[0].entry.started), (Up, Some(4 * S)), "as the list says now");
         assert_eq!(told[0].address, "another address");
-        assert_eq!(upkeep.call(5 * S, "a", false).as_deref(), Ok(&[][..]));
-        assert_eq!(states(&upkeep.list(6 * S, ListKind::Full, both())), [(1, Up), (2, Up)]);
+        assert_eq!(maintenance.set_out(5 * S, "a", false).as_deref(), Ok(&[][..]));
+        assert_eq!(states(&maintenance.apply_list(6 * S, ListKind::Full, both())), [(1, Up), (2, Up)]);
     }
 
     #[test]
     fn only_what_was_listed_once_can_be_called_and_little_is_kept_to_know_it() {
-        let mut upkeep = Upkeep::default();
-        upkeep.list(0, ListKind::Full, vec![up("a", 1)]);
-        upkeep.list(0, ListKind::Full, vec![up("b", 2)]);
-        assert_eq!(upkeep.call(S, "c", true), Err(Refused::NeverListed));
-        assert_eq!(upkeep.call(S, "c", false), Err(Refused::NeverListed));
-        assert_eq!(upkeep.call(S, "a", true).as_deref(), Ok(&[][..]), "it was listed once");
+        let mut maintenance = Maintenance::default();
+        maintenance.apply_list(0, ListKind::Full, vec![up("a", 1)]);
+        maintenance.apply_list(0, ListKind::Full, vec![up("b", 2)]);
+        assert_eq!(maintenance.set_out(S, "c", true), Err(Refused::NeverListed));
+        assert_eq!(maintenance.set_out(S, "c", false), Err(Refused::NeverListed));
+        assert_eq!(maintenance.set_out(S, "a", true).as_deref(), Ok(&[][..]), "it was listed once");
         for i in 0..2 * MOST_NAMES as u32 {
-            upkeep.list(S, ListKind::Full, vec![up(&format!("n{i}"), 10 + i)]);
+            maintenance.apply_list(S, ListKind::Full, vec![up(&format!("n{i}"), 10 + i)]);
         }
-        assert!(upkeep.names.len() <= MOST_NAMES && upkeep.seen.len() <= MOST_NAMES);
-        assert_eq!(upkeep.call(S, "b", true), Err(Refused::NeverListed), "forgotten");
-        assert!(upkeep.call(S, "a", false).is_ok(), "a ban is not");
-        upkeep.list(S + CALL_MEMORY + 1, ListKind::Changes, Vec::new());
-        assert!(upkeep.bans.is_empty(), "a call back ends");
+        assert!(maintenance.names.len() <= MOST_NAMES && maintenance.seen.len() <= MOST_NAMES);
+        assert_eq!(maintenance.set_out(S, "b", true), Err(Refused::NeverListed), "forgotten");
+        assert!(maintenance.set_out(S, "a", false).is_ok(), "a ban is not");
+        maintenance.apply_list(S + CALL_MEMORY + 1, ListKind::Changes, Vec::new());
+        assert!(maintenance.bans.is_empty(), "a call back ends");
     }
 
     /// Guards against a ban that is lost or revived between two processes which both take calls.
     #[test]
     fn of_two_processes_the_later_call_holds() {
-        let mut pair = [Upkeep::default(), Upkeep::default()];
-        for upkeep in &mut pair {
-            upkeep.list(0, ListKind::Full, vec![up("a", 1), up("b", 2)]);
+        let mut pair = [Maintenance::default(), Maintenance::default()];
+        for maintenance in &mut pair {
+            maintenance.apply_list(0, ListKind::Full, vec![up("a", 1), up("b", 2)]);
         }
         let [old, new] = &mut pair;
-        old.call(S, "a", true).expect("listed");
+        old.set_out(S, "a", true).expect("listed");
         assert_eq!(states(&new.merge(S, old.bans())), [(1, NodeState::Draining)]);
         assert!(new.merge(S, old.bans()).is_empty(), "nothing new");
-        new.call(2 * S, "a", false).expect("listed");
+        new.set_out(2 * S, "a", false).expect("listed");
         assert!(new.merge(2 * S, old.bans()).is_empty(), "an earlier call");
         assert_eq!(states(&old.merge(2 * S, new.bans())), [(1, NodeState::Up)]);
     }
@@ -364,14 +367,14 @@
     /// Guards against two processes that both fill a cold node's budget.
     #[test]
     fn cold_nodes_are_left_to_the_process_that_takes_over() {
-        let mut upkeep = Upkeep::default();
+        let mut maintenance = Maintenance::default();
         let cold = listed("b", 2, NodeState::Up, Some(9 * S));
-        upkeep.list(10 * S, ListKind::Full, vec![up("a", 1), cold]);
-        assert_eq!(states(&upkeep.leave_cold(10 * S, Some(20 * S))), [(2, NodeState::Draining)]);
+        maintenance.apply_list(10 * S, ListKind::Full, vec![up("a", 1), cold]);
+        assert_eq!(states(&maintenance.exclude_cold(10 * S, Some(20 * S))), [(2, NodeState::Draining)]);
         let another = listed("c", 3, NodeState::Up, Some(11 * S));
-        let told = upkeep.list(12 * S, ListKind::Changes, vec![another]);
+        let told = maintenance.apply_list(12 * S, ListKind::Changes, vec![another]);
         assert_eq!(states(&told), [(3, NodeState::Draining)]);
-        let told = upkeep.leave_cold(13 * S, None);
+        let told = maintenance.exclude_cold(13 * S, None);
         assert_eq!(states(&told), [(2, NodeState::Up), (3, NodeState::Up)], "the new one died");
     }
 }
--- a/src/state/pipe.rs
+++ b/src/state/pipe.rs
@@ -1,7 +1,7 @@
 //! A bounded window through which a large value passes: whoever has its bytes puts them in while there is space, whoever
 //! wants them takes them out. Neither ever holds the whole.
 
-use super::room::{Part, Room};
+use super::buffer_budget::{BufferBudget, Reservation};
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -31,7 +31,7 @@
     most: usize,
     chunks: RefCell<VecDeque<Bytes>>,
     held: Cell<usize>,
-    part: RefCell<Part>,
+    part: RefCell<Reservation>,
     course: Cell<Progress>,
     /// Whether any byte has been taken out.
     tapped: Cell<bool>,
@@ -49,12 +49,12 @@
 pub struct PipeReader(Rc<Inner>);
 
 /// A window whose bytes are charged to a room.
-pub fn pipe(room: &Room, most: usize) -> (PipeWriter, PipeReader) {
+pub fn pipe(budget: &BufferBudget, most: usize) -> (PipeWriter, PipeReader) {
     let inner = Rc::new(Inner {
         most,
         chunks: RefCell::default(),
         held: Cell::new(0),
-        part: RefCell::new(room.part()),
+        part: RefCell::new(budget.empty_reservation()),
         course: Cell::new(Progress::Ongoing),
         tapped: Cell::new(false),
         takers: Cell::new(1),
@@ -168,7 +168,7 @@
 
     #[test]
     fn a_value_passes_in_parts_and_is_whole_only_when_all_is_taken() {
-        let (giver, taker) = pipe(&Room::new(1 << 20), WINDOW);
+        let (giver, taker) = pipe(&BufferBudget::new(1 << 20), WINDOW);
         assert_eq!((giver.space(), taker.take(), taker.progress()), (WINDOW, None, Progress::Ongoing));
         giver.put(Bytes::from(vec![1; WINDOW - 5]));
         giver.put(Bytes::from_static(b"ab"));
@@ -184,11 +184,11 @@
     /// Guards against a value cut off that passes for a whole one, and a source that fills a window nobody empties.
     #[test]
     fn whoever_lets_go_early_is_noticed() {
-        let (giver, taker) = pipe(&Room::new(1 << 20), WINDOW);
+        let (giver, taker) = pipe(&BufferBudget::new(1 << 20), WINDOW);
         giver.put(Bytes::from_static(b"ab"));
         drop(giver);
         assert_eq!(taker.progress(), Progress::Broken);
-        let (giver, taker) = pipe(&Room::new(1 << 20), WINDOW);
+        let (giver, taker) = pipe(&BufferBudget::new(1 << 20), WINDOW);
         let other = taker.clone();
         drop(taker);
         assert!(!giver.is_abandoned());
@@ -199,18 +199,18 @@
     /// Guards against windows that together outgrow the memory, and against ones that stop for good without room.
     #[test]
     fn windows_are_charged_and_shrink_without_room() {
-        let room = Room::new(2 * (WINDOW - LEAST));
-        let pipes: Vec<(PipeWriter, PipeReader)> = (0..3).map(|_| pipe(&room, WINDOW)).collect();
+        let budget = BufferBudget::new(2 * (WINDOW - LEAST));
+        let pipes: Vec<(PipeWriter, PipeReader)> = (0..3).map(|_| pipe(&budget, WINDOW)).collect();
         let spaces: Vec<usize> = pipes.iter().map(|(giver, _)| giver.space()).collect();
         assert_eq!(spaces, [WINDOW, WINDOW, LEAST]);
         drop(pipes);
-        assert!(room.take(2 * (WINDOW - LEAST)), "given back");
-        room.give_back(2 * (WINDOW - LEAST));
+        assert!(budget.reserve(2 * (WINDOW - LEAST)), "given back");
+        budget.release(2 * (WINDOW - LEAST));
         // What is held is charged, not what is announced; and it is given back as it is taken.
-        let (giver, taker) = pipe(&room, 4 << 20);
+        let (giver, taker) = pipe(&budget, 4 << 20);
         giver.put(Bytes::from(vec![1; 2 * LEAST]));
         assert!(giver.space() <= AHEAD, "a value of 4 MiB does not claim all");
         taker.take();
-        assert!(room.take(2 * (WINDOW - LEAST)));
+        assert!(budget.reserve(2 * (WINDOW - LEAST)));
     }
 }
--- a/src/state/starts.rs
+++ b/src/state/starts.rs
@@ -23,7 +23,7 @@
 
 /// The starts of all nodes that lists have named.
 #[derive(Debug)]
-pub struct Starts {
+pub struct StartTimes {
     began: Time,
     /// When the last list was taken: what a later one tells anew has happened since.
     last: Option<Time>,
@@ -33,15 +33,15 @@
     forget_at: Time,
 }
 
-impl Starts {
+impl StartTimes {
     /// Those of a process that starts at `now`.
     pub fn new(now: Time) -> Self {
-        Starts { began: now, last: None, step: 0, known: BTreeMap::new(), forget_at: now + MEMORY }
+        StartTimes { began: now, last: None, step: 0, known: BTreeMap::new(), forget_at: now + MEMORY }
     }
 
     /// A list is taken; the wall clock has moved by `step` since the process began. Gives the nodes whose starts are
     /// taken for others than before.
-    pub fn begin(&mut self, step: Time) -> Vec<(NodeId, Time)> {
+    pub fn begin_list(&mut self, step: Time) -> Vec<(NodeId, Time)> {
         let moved = step - self.step;
         if moved.abs() <= STEP {
             return Vec::new();
@@ -83,7 +83,7 @@
     }
 
     /// The list is taken whole.
-    pub fn end(&mut self, now: Time) {
+    pub fn end_list(&mut self, now: Time) {
         self.last = Some(now);
         if now >= self.forget_at {
             self.forget_at = now + MEMORY;
--- a/src/wire/admin/desk.rs
+++ b/src/wire/admin/desk.rs
@@ -2,9 +2,9 @@
 
 use super::{Call, Wrong};
 use crate::interface::{ListKind, Time};
+use crate::state::maintenance::{Maintenance, Refused};
 use crate::state::phase::{Phase, Transition};
 use crate::state::planner::{Input, ListedNode, Wire};
-use crate::state::upkeep::{Refused, Upkeep};
 use crate::wire::clock::Clock;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -31,7 +31,7 @@
     /// The broker's phase.
     pub phase: Rc<watch::Sender<Phase>>,
     /// The nodes that are out.
-    pub upkeep: Rc<RefCell<Upkeep>>,
+    pub maintenance: Rc<RefCell<Maintenance>>,
     /// The planner.
     pub planner: UnboundedSender<Input<W>>,
     /// Who writes down what is to outlive this process, if there is a place for it.
@@ -86,7 +86,7 @@
         let phase = *self.phase.borrow();
         match phase {
             _ if !phase.is_healthy() => Err(format!("{phase:?}").to_ascii_lowercase()),
-            _ if !self.upkeep.borrow().is_usable() => Err("no usable list of disk nodes".to_string()),
+            _ if !self.maintenance.borrow().is_usable() => Err("no usable list of disk nodes".to_string()),
             _ => Ok("serving".to_string()),
         }
     }
@@ -94,7 +94,7 @@
     /// Answers once the scheduler knows and what was held for the node cannot go there any more.
     async fn node(&self, name: &str, out: bool) -> Result<String, String> {
         if let Some(cluster) = &self.cluster {
-            if !self.upkeep.borrow().knows(name) {
+            if !self.maintenance.borrow().was_listed(name) {
                 return Err(Refused::NeverListed.to_string());
             }
             let agreed = tokio::time::timeout(SOON, cluster.drain(name, out)).await;
@@ -102,7 +102,8 @@
             let word = if out { "out" } else { "in use" };
             return Ok(format!("{word}, everywhere within {within} ms"));
         }
-        let told = self.upkeep.borrow_mut().call(self.clock.now(), name, out).map_err(|e| e.to_string())?;
+        let told =
+            self.maintenance.borrow_mut().set_out(self.clock.now(), name, out).map_err(|e| e.to_string())?;
         let reached = tell(&self.planner, told);
         let kept = self.keeper.as_ref().map(|keeper| {
             let (keep, kept) = oneshot::channel();
--- a/src/wire/admin/serve.rs
+++ b/src/wire/admin/serve.rs
@@ -2,8 +2,8 @@
 
 use super::desk::Desk;
 use crate::state::accept_queue::AcceptQueue;
+use crate::state::client_slots::{ClientSlot, ClientSlots, EvictReason};
 use crate::state::planner::Wire;
-use crate::state::seats::{Seat, Seats, Spare};
 use crate::wire::session::close;
 use crate::wire::socket::accepted_now;
 use bytes::BytesMut;
@@ -22,24 +22,24 @@
 const FULL_RETRY: Duration = Duration::from_millis(2);
 
 /// Takes callers for good. Where all places are taken, the one that has finished no line for longest gives way.
-pub async fn accept<W: Wire>(listener: TcpListener, desk: Rc<Desk<W>>, seats: Seats) {
+pub async fn accept<W: Wire>(listener: TcpListener, desk: Rc<Desk<W>>, slots: ClientSlots) {
     let mut queue = AcceptQueue::of_own_socket();
     loop {
-        while seats.len() >= MOST_CALLERS {
+        while slots.len() >= MOST_CALLERS {
             let now = desk.clock.now();
-            queue.waits(now);
-            while seats.call_spare(now, queue.press(now)) {}
+            queue.mark_waiting(now);
+            while slots.evict_one(now, queue.pressure(now)) {}
             tokio::time::sleep(FULL_RETRY).await;
         }
         let accepted = match accepted_now(&listener).await {
             Some(accepted) => accepted,
             None => {
-                queue.is_empty_now();
+                queue.mark_empty();
                 listener.accept().await.map(|(stream, _)| stream)
             }
         };
         match accepted {
-            Ok(stream) => drop(tokio::task::spawn_local(serve(stream, desk.clone(), seats.take()))),
+            Ok(stream) => drop(tokio::task::spawn_local(serve(stream, desk.clone(), slots.take()))),
             Err(error) => {
                 tracing::warn!(%error, "cannot take a caller");
                 tokio::time::sleep(FULL_RETRY * 10).await;
@@ -49,10 +49,10 @@
 }
 
 /// Carries one caller: a line, an answer, the end.
-async fn serve<W: Wire>(mut stream: TcpStream, desk: Rc<Desk<W>>, seat: Seat) {
+async fn serve<W: Wire>(mut stream: TcpStream, desk: Rc<Desk<W>>, slot: ClientSlot) {
     let now = desk.clock.now();
-    seat.set_spare(Some((Spare::Silent, now)));
-    seat.set_deadline(Some(now + PATIENCE.as_micros() as i64));
+    slot.set_evictable(Some((EvictReason::Silent, now)));
+    slot.set_deadline(Some(now + PATIENCE.as_micros() as i64));
     let mut read = BytesMut::with_capacity(128);
     let call = loop {
         tokio::select! {
@@ -66,11 +66,11 @@
                 }
             }
             // Its place is wanted, or its time is over.
-            () = seat.called() => return,
+            () = slot.woken() => return,
         }
     };
-    seat.set_spare(None);
-    seat.set_deadline(None);
+    slot.set_evictable(None);
+    slot.set_deadline(None);
     let answer = desk.take(call).await + "\r\n";
     let written = tokio::time::timeout(READING, stream.write_all(answer.as_bytes())).await;
     if matches!(written, Ok(Ok(()))) {
--- a/src/wire/discovery.rs
+++ b/src/wire/discovery.rs
@@ -2,8 +2,8 @@
 
 use super::link::Broken;
 use crate::interface::{ListKind, NodeEntry, NodeId, NodeState, ShardId, Time};
+use crate::state::maintenance::NamedNode;
 use crate::state::planner::ListedNode;
-use crate::state::upkeep::Listed;
 use bytes::BytesMut;
 use serde::Deserialize;
 use std::borrow::Cow;
@@ -115,7 +115,7 @@
     }
 
     /// Its nodes as the planner knows them. A node of a zone that the settings lack has a zone of its own.
-    pub fn into_listed(self, numbers: &mut NodeNumbers, zones: &[String]) -> Vec<Listed> {
+    pub fn into_listed(self, numbers: &mut NodeNumbers, zones: &[String]) -> Vec<NamedNode> {
         let member = |entry: Entry| {
             let zone = zones.iter().position(|z| *z == entry.locality).unwrap_or(zones.len());
             let state = match entry.phase {
@@ -133,10 +133,10 @@
                 started,
                 size: thousandths(entry.size),
             };
-            Listed { name: entry.id, member: ListedNode { entry: entry_of, address: entry.host_port } }
+            NamedNode { name: entry.id, member: ListedNode { entry: entry_of, address: entry.host_port } }
         };
         let complete = self.complete;
-        let members: Vec<Listed> = self.members.into_iter().map(member).collect();
+        let members: Vec<NamedNode> = self.members.into_iter().map(member).collect();
         let last: BTreeMap<NodeId, NodeState> =
             members.iter().map(|l| (l.member.entry.node, l.member.entry.state)).collect();
         match complete {
--- a/src/wire/link.rs
+++ b/src/wire/link.rs
@@ -2,10 +2,10 @@
 
 use super::outbox::Outbox;
 use crate::interface::{Ending, Time};
+use crate::state::buffer_budget::{BufferBudget, Reservation};
 use crate::state::guard::{Denied, Guard};
 use crate::state::planner::{AttemptEnd, AttemptId, AttemptTimes, Input, LinkEnd, Wire};
 use crate::state::pool::LinkId;
-use crate::state::room::{Part, Room};
 use crate::wire::clock::Pulse;
 use crate::wire::socket::{is_short_of_memory, not_up, passes, unread, NotUp, Unread as Lying, REST};
 use bytes::BytesMut;
@@ -166,7 +166,7 @@
     /// The time, and how late this process runs.
     pub pulse: Pulse,
     /// Room for replies that are not whole yet.
-    pub room: Room,
+    pub budget: BufferBudget,
     /// Until when anything may be written.
     pub permit: Permit,
     /// Whom each attempt asks before it begins.
@@ -309,7 +309,8 @@
 
     /// Reads and writes until the connection ends, which gives the reason, or the planner lets go.
     async fn carry(&mut self, stream: TcpStream) -> Option<String> {
-        let mut unread_part = Unread { read: BytesMut::new(), part: self.room.part(), told: None };
+        let mut unread_part =
+            Unread { read: BytesMut::new(), part: self.budget.empty_reservation(), told: None };
         // Others have been given way to before an attempt begins.
         let mut caught_up = false;
         loop {
@@ -437,7 +438,7 @@
 /// What was read of a node and is not whole yet.
 struct Unread {
     read: BytesMut,
-    part: Part,
+    part: Reservation,
     /// For how long the planner was told that more may be waited for, and when.
     told: Option<(Time, Time)>,
 }
--- a/src/wire/resp/client.rs
+++ b/src/wire/resp/client.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 use crate::interface::Ending;
+use crate::state::buffer_budget::BufferBudget;
 use crate::state::pipe::{pipe, PipeWriter, Progress, WINDOW};
 use crate::state::planner::{AttemptEnd, AttemptId};
-use crate::state::room::Room;
 use crate::wire::link::{broken_at, either, Ended, Exchange, Flow, Stir, UNASKED, WHOLE};
 use std::collections::VecDeque;
 
@@ -24,7 +24,7 @@
     /// A long reply on its way.
     passing: Option<Passing>,
     flow: Option<Flow<Reply>>,
-    room: Room,
+    budget: BufferBudget,
 }
 
 /// A long reply on its way.
@@ -76,8 +76,8 @@
 
 impl Node {
     /// A connection whose windows are charged to this room.
-    pub fn new(room: Room) -> Self {
-        Node { room, ..Node::default() }
+    pub fn new(budget: BufferBudget) -> Self {
+        Node { budget, ..Node::default() }
     }
 
     /// Passes on what has come of a long reply; true when it has come to its end.
@@ -133,7 +133,7 @@
                 if sent == NOWHERE {
                     return Err(Broken("a reply before the request was whole"));
                 }
-                let (giver, taker) = pipe(&self.room, MOST_VALUE);
+                let (giver, taker) = pipe(&self.budget, MOST_VALUE);
                 self.passing = Some(Passing { giver, left, items: items - 1 });
                 let reply = Some(Reply::Long(taker, left));
                 self.flow =
--- a/src/wire/resp/server.rs
+++ b/src/wire/resp/server.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 use crate::interface::{Arrival, Class, RequestId};
+use crate::state::buffer_budget::{BufferBudget, Reservation};
 use crate::state::phase::Phase;
 use crate::state::pipe::{pipe, PipeWriter, Progress, WINDOW};
-use crate::state::places::Placed;
 use crate::state::planner::Answer;
-use crate::state::room::{Part, Room};
+use crate::state::stable_index::Indexed;
 use crate::wire::link::{either, Stir};
 use crate::wire::session::{Numbers, Session};
 use std::cell::RefCell;
@@ -51,7 +51,7 @@
 #[derive(Debug, Default)]
 pub struct Terms {
     /// The classes with their places at the scheduler.
-    pub classes: Vec<Rc<Placed<ClassTerms>>>,
+    pub classes: Vec<Rc<Indexed<ClassTerms>>>,
     /// Names of the plans, with theirs.
     pub plans: Vec<(String, usize)>,
     /// Most units of a request.
@@ -75,7 +75,7 @@
     /// Numbers for requests.
     pub numbers: Numbers,
     /// Room for what is open.
-    pub room: Room,
+    pub budget: BufferBudget,
     /// The broker's phase.
     phase: watch::Receiver<Phase>,
     /// Ids of the requests that are open, by whatever client.
@@ -84,16 +84,16 @@
 
 impl Common {
     /// For sessions of which none has begun.
-    pub fn new(terms: Terms, room: Room, phase: watch::Receiver<Phase>) -> Self {
+    pub fn new(terms: Terms, budget: BufferBudget, phase: watch::Receiver<Phase>) -> Self {
         let terms = RefCell::new(Rc::new(terms));
-        Common { terms, numbers: Numbers::default(), room, phase, open: RefCell::default() }
+        Common { terms, numbers: Numbers::default(), budget, phase, open: RefCell::default() }
     }
 }
 
 /// A request that is still to be answered.
 struct Owed {
     /// Its class as it was taken, whose place is not given away as long.
-    _class: Rc<Placed<ClassTerms>>,
+    _class: Rc<Indexed<ClassTerms>>,
     number: RequestId,
     id: Box<[u8]>,
     /// Bytes of its body.
@@ -171,9 +171,9 @@
     slots: VecDeque<Slot>,
     held: usize,
     /// Room for the values that are not written yet.
-    values: Part,
+    values: Reservation,
     /// Room for what was read and is not taken.
-    untaken: Part,
+    untaken: Reservation,
     outbox: Outbox,
     upload: Option<Upload>,
     /// Requests whose long bodies have come whole, and when their clients give up.
@@ -183,14 +183,14 @@
 }
 
 /// What the scheduler is told of a request, where its deadline stands, and its class.
-type Taken = (Arrival, Range<usize>, Rc<Placed<ClassTerms>>);
+type Taken = (Arrival, Range<usize>, Rc<Indexed<ClassTerms>>);
 /// The error line for a command.
 type Wrong = &'static [u8];
 
 impl Client {
     /// A session of a client that has just connected.
     pub fn new(common: Rc<Common>) -> Self {
-        let (values, untaken) = (common.room.part(), common.room.part());
+        let (values, untaken) = (common.budget.empty_reservation(), common.budget.empty_reservation());
         Client {
             common,
             slots: VecDeque::new(),
@@ -268,7 +268,7 @@
         if self.common.open.borrow().contains(&owed.id) {
             return Err(b"-ERR id of a request that is open\r\n");
         }
-        if !self.common.room.take(REQUEST_BYTES + held) {
+        if !self.common.budget.reserve(REQUEST_BYTES + held) {
             return Err(BUSY);
         }
         self.common.open.borrow_mut().insert(owed.id.clone());
@@ -315,7 +315,7 @@
         let hosts = find(b"hosts").and_then(whole).filter(|h| *h > 0);
         let arrival = Arrival {
             id: self.common.numbers.next(),
-            class: class.place,
+            class: class.index,
             plan: plan.1,
             key: None,
             due: self
@@ -338,7 +338,7 @@
     /// takes it. Of a command that is turned down the body is read and dropped.
     fn long(&mut self, now: Time, words: Value, length: usize, asks: &mut Vec<(Arrival, Command)>) {
         // Its window is charged as a body of that length would be.
-        let (giver, taker) = pipe(&Room::new(WINDOW), WINDOW);
+        let (giver, taker) = pipe(&BufferBudget::new(WINDOW), WINDOW);
         let words: Vec<Bytes> = match words {
             Value::Array(Some(items)) => items
                 .into_iter()
@@ -445,7 +445,7 @@
     /// A request is no longer open.
     fn forget(&mut self, owed: &Owed) {
         self.held -= owed.body;
-        self.common.room.give_back(REQUEST_BYTES + owed.body);
+        self.common.budget.release(REQUEST_BYTES + owed.body);
         self.common.open.borrow_mut().remove(&owed.id);
     }
 }
--- a/src/wire/session.rs
+++ b/src/wire/session.rs
@@ -6,10 +6,10 @@
 use crate::interface::Time;
 use crate::interface::{Arrival, RequestId};
 use crate::state::activity::Activity;
+use crate::state::client_slots::ClientSlot;
 use crate::state::guard::{CloseReason, Guard};
 use crate::state::phase::Phase;
 use crate::state::planner::{Answer, AnswerSender, ClientRequest, Input, Wire};
-use crate::state::seats::Seat;
 use crate::wire::clock::Pulse;
 use crate::wire::socket::{is_short_of_memory, passes, unread, Unread, REST};
 use bytes::BytesMut;
@@ -139,7 +139,7 @@
 /// A connection as its front accepted it.
 pub struct Visit {
     /// Its place.
-    pub seat: Seat,
+    pub slot: ClientSlot,
     /// The earliest moment at which what lies on it may have come.
     pub arrived: Time,
     /// What becomes of its requests.
@@ -152,7 +152,7 @@
     stream: TcpStream,
     mut session: S,
     site: Site<W>,
-    Visit { seat, arrived, admission }: Visit,
+    Visit { slot, arrived, admission }: Visit,
 ) {
     let Site { planner, guard, pulse, mut phase } = site;
     let (back, mut answers) = unbounded_channel();
@@ -174,7 +174,7 @@
         }
         let idle = session.owed().is_empty() && !waiting && !session.passes();
         let gives_way = idle && session.gives_way();
-        seat.set_spare(gives_way.then(|| activity.spare()));
+        slot.set_evictable(gives_way.then(|| activity.spare()));
         let now = ways.pulse.now();
         let deadline = activity.deadline(now, gives_way, waiting);
         let is_over = |at: Option<Time>| at.is_some_and(|at| at <= now);
@@ -199,12 +199,12 @@
         if over && waiting {
             break CloseReason::NotRead;
         }
-        let wanted = (seat.is_called() && batch.is_none()) || is_over(closes) || is_over(ends);
+        let wanted = (slot.is_close_requested() && batch.is_none()) || is_over(closes) || is_over(ends);
         if idle && session.ending() {
             break CloseReason::Ended;
         }
-        let unfinished =
-            activity.has_partial_command() && (over || is_over(ends) || (gives_way && seat.is_called()));
+        let unfinished = activity.has_partial_command()
+            && (over || is_over(ends) || (gives_way && slot.is_close_requested()));
         if unfinished || (idle && (over || wanted)) {
             // The clock may have run while nobody read: what has come is taken first. The runtime is asked to look again.
             let reads = stands.reads_idle_connections(now);
@@ -227,7 +227,7 @@
                 }
             }
             if idle {
-                break match (over, seat.is_called()) {
+                break match (over, slot.is_close_requested()) {
                     (true, _) => CloseReason::Idle,
                     (false, true) => CloseReason::PlaceWanted,
                     (false, false) => CloseReason::SentAway,
@@ -235,7 +235,7 @@
             }
         }
         let wakes = [deadline, closes, ends, deaf, batch].into_iter().flatten();
-        seat.set_deadline(wakes.filter(|at| *at > now).min());
+        slot.set_deadline(wakes.filter(|at| *at > now).min());
         let stirred = session.stirred();
         // One that has gone must be seen whatever else it is owed. What will not be answered is not read at all.
         let ahead = if untaken { read.len() } else { 0 };
@@ -312,7 +312,7 @@
                     ways.take(&stream, &mut session, &mut activity, &mut read);
                 }
             }
-            () = seat.called() => {}
+            () = slot.woken() => {}
         }
     };
     ways.end(&session, &activity, reason, *phase.borrow());
--- a/src/wire/watch.rs
+++ b/src/wire/watch.rs
@@ -1,13 +1,13 @@
 //! The watch on discovery: the driver of one connection to it. When it calls and what it may rely on says
-//! [`Told`].
+//! [`ListValidity`].
 
 use super::discovery::{self, Listing, NodeNumbers, Response};
 use super::socket::{is_short_of_memory, not_up, passes, NotUp};
 use crate::interface::{ListKind, Time};
+use crate::state::list_validity::{Failure, ListValidity, Step, Terms};
+use crate::state::maintenance::{Maintenance, NamedNode};
 use crate::state::planner::{Input, Wire};
-use crate::state::starts::Starts;
-use crate::state::told::{Failure, Step, Terms, Told};
-use crate::state::upkeep::{Listed, Upkeep};
+use crate::state::starts::StartTimes;
 use crate::wire::clock::Pulse;
 use crate::wire::link::Permit;
 use bytes::BytesMut;
@@ -45,15 +45,15 @@
     /// The planner.
     pub planner: UnboundedSender<Input<W>>,
     /// What is laid over every list.
-    pub upkeep: Rc<RefCell<Upkeep>>,
+    pub maintenance: Rc<RefCell<Maintenance>>,
     /// When to call, and until when the list holds.
-    pub told: Told,
+    pub list_validity: ListValidity,
     /// What the settings say of lists; they may change.
     pub terms: Rc<Cell<Terms>>,
     /// Where links see until when the list holds.
     pub permit: Permit,
     /// When nodes have started, by this machine's clock.
-    pub starts: Starts,
+    pub starts: StartTimes,
     /// The time, and how late this process runs.
     pub pulse: Pulse,
 }
@@ -73,8 +73,8 @@
             // A call is not given up, nor the list held to be old, for what lies unread here.
             self.pulse.catch_up().await;
             let now = self.pulse.now();
-            self.told.retune(self.terms.get());
-            match self.told.step(now) {
+            self.list_validity.set_terms(self.terms.get());
+            match self.list_validity.step(now) {
                 Step::Wait => {}
                 Step::Call(wait) => {
                     let address = self.address.borrow_and_update().clone();
@@ -87,16 +87,16 @@
                     continue;
                 }
             }
-            let until = self.told.sends_until();
+            let until = self.list_validity.send_until();
             self.permit.list.set(until);
             if std::mem::replace(&mut held, now >= until) != held {
                 tracing::warn!(held, "list of nodes out of date");
-                let suspended = self.upkeep.borrow_mut().outdate(held);
+                let suspended = self.maintenance.borrow_mut().set_outdated(held);
                 if self.planner.send(Input::Suspended(suspended)).is_err() {
                     return;
                 }
             }
-            let deadline = self.told.next_deadline();
+            let deadline = self.list_validity.next_deadline();
             let wake = if held { deadline } else { deadline.min(until) };
             tokio::select! {
                 // What has come is read before time is found to be up.
@@ -107,14 +107,14 @@
                     match answer.and_then(|(response, keep)| Ok((self.listing(response)?, keep))) {
                         Ok((listing, keep)) => {
                             kept = keep;
-                            self.told.answered(self.pulse.now());
+                            self.list_validity.answered(self.pulse.now());
                             if !self.take(listing).await {
                                 return;
                             }
                         }
                         Err((failure, reason)) => {
                             tracing::warn!(reason, "list of nodes lost");
-                            self.told.failed(self.pulse.now(), failure);
+                            self.list_validity.failed(self.pulse.now(), failure);
                         }
                     }
                 }
@@ -124,7 +124,7 @@
                     }
                     // The version holds at the new address, too: nothing that was told is asked for again.
                     (calling, kept) = (None, None);
-                    self.told.moved(self.pulse.now());
+                    self.list_validity.endpoint_changed(self.pulse.now());
                 }
                 () = tokio::time::sleep_until(self.pulse.clock().instant(wake).into()) => {}
             }
@@ -134,9 +134,9 @@
     /// The list in a response. One that is older than what is known tells nothing.
     fn listing(&self, response: Response) -> Result<Listing, (Failure, String)> {
         match response {
-            Response::Status(status) => Err((Failure::Ended, format!("status {status}"))),
+            Response::Status(status) => Err((Failure::Rejected, format!("status {status}"))),
             Response::Listing(listing) if listing.revision < self.revision.get() => {
-                Err((Failure::Ended, format!("version {} is older than what is known", listing.revision)))
+                Err((Failure::Rejected, format!("version {} is older than what is known", listing.revision)))
             }
             Response::Listing(listing) => Ok(listing),
         }
@@ -151,7 +151,7 @@
         let mut listed = listing.into_listed(&mut self.numbers, &self.zones.borrow());
         self.date(now, &mut listed);
         let named = listed.len();
-        let mut members = self.upkeep.borrow_mut().changes(now, kind, listed);
+        let mut members = self.maintenance.borrow_mut().apply_changes(now, kind, listed);
         self.pulse.spent("laying a list over the last one", now);
         if named > 0 || !members.is_empty() {
             let (revision, changed) = (self.revision.get(), members.len());
@@ -169,15 +169,15 @@
     }
 
     /// Puts this machine's clock in the place of the wall clock.
-    fn date(&mut self, now: Time, listed: &mut [Listed]) {
-        let moved = self.starts.begin(self.pulse.clock().wall_step());
-        let moved: Vec<Listed> = self.upkeep.borrow().dated(moved);
+    fn date(&mut self, now: Time, listed: &mut [NamedNode]) {
+        let moved = self.starts.begin_list(self.pulse.clock().wall_step());
+        let moved: Vec<NamedNode> = self.maintenance.borrow().with_starts(moved);
         for listed in listed {
             let entry = &mut listed.member.entry;
             entry.started = self.starts.adopt(now, entry.node, entry.started);
         }
-        self.starts.end(now);
-        let members = self.upkeep.borrow_mut().changes(now, ListKind::Changes, moved);
+        self.starts.end_list(now);
+        let members = self.maintenance.borrow_mut().apply_changes(now, ListKind::Changes, moved);
         if !members.is_empty() {
             let _ = self.planner.send(Input::Nodes(ListKind::Changes, members));
         }
@@ -205,12 +205,12 @@
         None => connect(&address).await?,
     };
     let call = discovery::watch_call(&address, revision, (wait / 1000).max(1));
-    write_all(&stream, call.as_bytes()).await.map_err(|e| (Failure::Ended, e.to_string()))?;
+    write_all(&stream, call.as_bytes()).await.map_err(|e| (Failure::Rejected, e.to_string()))?;
     let mut read = BytesMut::with_capacity(READ);
     // How long has been waited for more of an answer that has begun. What this process itself was late is no wait.
     let mut waited = None;
     loop {
-        let failure = if waited.is_some() { Failure::Spoilt } else { Failure::Ended };
+        let failure = if waited.is_some() { Failure::Malformed } else { Failure::Rejected };
         let from = tokio::time::Instant::now();
         let came = match waited {
             None => stream.readable().await,
@@ -236,7 +236,7 @@
                 return match discovery::decode_ended(&mut read) {
                     Ok(Some(response)) => Ok((response, None)),
                     Ok(None) => Err((failure, "closed by discovery".to_string())),
-                    Err(e) => Err((Failure::Spoilt, e.to_string())),
+                    Err(e) => Err((Failure::Malformed, e.to_string())),
                 }
             }
             Ok(_) => waited = Some(more),
@@ -247,7 +247,7 @@
         match decoded {
             Ok(None) => {}
             Ok(Some((response, keep))) => return Ok((response, Some(stream).filter(|_| keep))),
-            Err(e) => return Err((Failure::Spoilt, e.to_string())),
+            Err(e) => return Err((Failure::Malformed, e.to_string())),
         }
         tokio::task::yield_now().await;
     }
@@ -256,13 +256,13 @@
 /// A new connection to discovery. Only its own word says something of it: no descriptor or no route is this machine's.
 async fn connect(address: &str) -> Result<TcpStream, (Failure, String)> {
     match tokio::time::timeout(CONNECT, TcpStream::connect(address)).await {
-        Err(_) => Err((Failure::NotUp, "connecting timed out".to_string())),
+        Err(_) => Err((Failure::NotConnected, "connecting timed out".to_string())),
         Ok(Ok(stream)) => Ok(stream),
         Ok(Err(e)) => {
             let failure = match (e.kind(), not_up(&e)) {
-                (ErrorKind::ConnectionReset, _) => Failure::Ended,
-                (_, NotUp::Refused) => Failure::Away,
-                (_, NotUp::Unreached | NotUp::Here) => Failure::NotUp,
+                (ErrorKind::ConnectionReset, _) => Failure::Rejected,
+                (_, NotUp::Refused) => Failure::Refused,
+                (_, NotUp::Unreached | NotUp::Here) => Failure::NotConnected,
             };
             Err((failure, e.to_string()))
         }
--- a/tests/told.rs
+++ b/tests/list_validity.rs
@@ -1,7 +1,7 @@
 //! The account of when a change of the list counts as told, on handed-in time, before discoveries that fail in every way.
 
 use claywinch::interface::Time;
-use claywinch::state::told::*;
+use claywinch::state::list_validity::*;
 
 /// The operators' figures, written here by themselves.
 const SILENCE: Time = 6_000_000;
@@ -34,7 +34,7 @@
 /// One change of the list, the account, and a discovery that behaves as it is told. The operators' clock runs beside
 /// it, written by itself: when does the change count as told?
 struct World {
-    told: Told,
+    list_validity: ListValidity,
     terms: Terms,
     now: Time,
     /// The change, and whether it has been had.
@@ -58,7 +58,7 @@
 impl World {
     fn new(terms: Terms, change: Time, seed: u64) -> Self {
         World {
-            told: Told::new(0, terms, false, seed),
+            list_validity: ListValidity::new(0, terms, false, seed),
             terms,
             now: 0,
             change,
@@ -92,7 +92,7 @@
     fn run(&mut self, to: Time, manner: &dyn Fn(Time) -> Manner) {
         let mut open: Option<(Time, Time)> = None;
         while self.now < to {
-            match self.told.step(self.now) {
+            match self.list_validity.step(self.now) {
                 Step::Call(wait) => {
                     open = Some((self.now, wait));
                     self.last = self.now;
@@ -113,7 +113,7 @@
                         if news || now >= at + wait {
                             self.known |= news;
                             self.silent = None;
-                            self.told.answered(now);
+                            self.list_validity.answered(now);
                             (open, self.failed) = (None, false);
                         }
                         None
@@ -127,16 +127,16 @@
                         self.silent.get_or_insert((now, at + wait));
                         None
                     }
-                    Manner::Status => Some(Failure::Ended),
-                    Manner::Away => Some(Failure::Away),
-                    Manner::NotUp => (now >= at + S).then_some(Failure::NotUp),
+                    Manner::Status => Some(Failure::Rejected),
+                    Manner::Away => Some(Failure::Refused),
+                    Manner::NotUp => (now >= at + S).then_some(Failure::NotConnected),
                 };
                 if let Some(failure) = failure {
-                    self.told.failed(now, failure);
+                    self.list_validity.failed(now, failure);
                     (open, self.failed) = (None, true);
                 }
             }
-            let sends = self.deaf || now < self.told.sends_until();
+            let sends = self.deaf || now < self.list_validity.send_until();
             self.held += if sends { 0 } else { 5 * MS };
             // While discovery is away the clock of those that ask stands still.
             let away = self.away == now;
@@ -269,13 +269,13 @@
 #[test]
 fn calls_that_fail_are_made_again_well_within_the_silence() {
     for terms in TERMS {
-        let mut told = Told::new(0, terms, false, 5);
+        let mut list_validity = ListValidity::new(0, terms, false, 5);
         let (mut now, mut last) = (0, 0);
         while now < 120 * S {
-            if let Step::Call(_) = told.step(now) {
+            if let Step::Call(_) = list_validity.step(now) {
                 assert!(now - last <= SILENCE / 2, "{terms:?}: {}", now - last);
                 last = now;
-                told.failed(now, Failure::Ended);
+                list_validity.failed(now, Failure::Rejected);
             }
             now += 5 * MS;
         }
@@ -288,7 +288,7 @@
     for terms in TERMS {
         let mut world = World::new(terms, 30 * S, 5);
         world.run(200 * S, &|now| if now < 4 * S { Manner::Answers } else { Manner::NotUp });
-        let until = world.told.sends_until();
+        let until = world.list_validity.send_until();
         assert!(until <= 4 * S + terms.ask_every.max(SILENCE) + terms.grace, "{terms:?}: {until}");
     }
 }
@@ -297,25 +297,25 @@
 #[test]
 fn a_start_a_move_and_an_upgrade_have_their_own_clocks() {
     let [asked, .., pushed] = TERMS;
-    let until = |told: &Told| told.holds_until();
-    assert_eq!(until(&Told::new(0, asked, false, 1)), 6 * S);
-    assert_eq!(until(&Told::new(0, asked, true, 1)), 2 * S);
-    assert_eq!(until(&Told::new(0, pushed, false, 1)), 0);
+    let until = |list_validity: &ListValidity| list_validity.valid_until();
+    assert_eq!(until(&ListValidity::new(0, asked, false, 1)), 6 * S);
+    assert_eq!(until(&ListValidity::new(0, asked, true, 1)), 2 * S);
+    assert_eq!(until(&ListValidity::new(0, pushed, false, 1)), 0);
     for terms in [asked, pushed] {
-        let mut told = Told::new(0, terms, false, 1);
-        told.step(0);
-        told.answered(S);
-        told.step(S);
-        told.moved(2 * S);
-        assert_eq!(until(&told), 6 * S);
-        assert!(matches!(told.step(2 * S), Step::Call(_)), "at once");
+        let mut list_validity = ListValidity::new(0, terms, false, 1);
+        list_validity.step(0);
+        list_validity.answered(S);
+        list_validity.step(S);
+        list_validity.endpoint_changed(2 * S);
+        assert_eq!(until(&list_validity), 6 * S);
+        assert!(matches!(list_validity.step(2 * S), Step::Call(_)), "at once");
         // A call that fails brings no news.
-        told.failed(3 * S, Failure::Ended);
-        assert_eq!(until(&told), 6 * S);
-        told.step(5 * S);
-        told.answered(5 * S);
-        told.step(5 * S);
-        assert_eq!(until(&told), 11 * S, "a watch is open");
+        list_validity.failed(3 * S, Failure::Rejected);
+        assert_eq!(until(&list_validity), 6 * S);
+        list_validity.step(5 * S);
+        list_validity.answered(5 * S);
+        list_validity.step(5 * S);
+        assert_eq!(until(&list_validity), 11 * S, "a watch is open");
     }
 }
 
@@ -324,22 +324,22 @@
 #[test]
 fn what_was_written_and_not_understood_counts_as_told() {
     for terms in TERMS {
-        let mut told = Told::new(0, terms, false, 1);
-        told.step(0);
-        told.answered(S);
-        told.step(S);
-        told.failed(2 * S, Failure::Spoilt);
-        assert_eq!(told.holds_until(), 2 * S);
-        assert!(told.next_deadline() <= 2 * S + AT_ONCE, "at once");
-        told.step(3 * S);
-        told.failed(3 * S, Failure::Spoilt);
-        assert!(told.next_deadline() > 3 * S + AT_ONCE, "no storm");
-        told.step(6 * S);
-        told.failed(6 * S, Failure::Ended);
-        assert_eq!(told.holds_until(), 2 * S);
-        told.step(9 * S);
-        told.answered(9 * S);
-        assert!(told.sends_until() >= 9 * S);
+        let mut list_validity = ListValidity::new(0, terms, false, 1);
+        list_validity.step(0);
+        list_validity.answered(S);
+        list_validity.step(S);
+        list_validity.failed(2 * S, Failure::Malformed);
+        assert_eq!(list_validity.valid_until(), 2 * S);
+        assert!(list_validity.next_deadline() <= 2 * S + AT_ONCE, "at once");
+        list_validity.step(3 * S);
+        list_validity.failed(3 * S, Failure::Malformed);
+        assert!(list_validity.next_deadline() > 3 * S + AT_ONCE, "no storm");
+        list_validity.step(6 * S);
+        list_validity.failed(6 * S, Failure::Rejected);
+        assert_eq!(list_validity.valid_until(), 2 * S);
+        list_validity.step(9 * S);
+        list_validity.answered(9 * S);
+        assert!(list_validity.send_until() >= 9 * S);
     }
 }
 
@@ -349,25 +349,26 @@
 fn a_crowd_gets_its_lists_without_a_storm() {
     const BROKERS: usize = 350;
     let terms = TERMS[0];
-    let mut all: Vec<Told> = (0..BROKERS).map(|i| Told::new(0, terms, false, 7 + i as u64)).collect();
-    for told in &mut all {
-        told.step(0);
-        told.answered(S);
-        told.step(S);
+    let mut all: Vec<ListValidity> =
+        (0..BROKERS).map(|i| ListValidity::new(0, terms, false, 7 + i as u64)).collect();
+    for list_validity in &mut all {
+        list_validity.step(0);
+        list_validity.answered(S);
+        list_validity.step(S);
     }
     // All are silent now; discovery serves one call in 15 ms and holds those of one second.
     let (mut queue, mut free, mut calls, mut done) = (Vec::new(), S, 0, vec![None; BROKERS]);
     let mut now = S;
     while now < 12 * S {
-        for (i, told) in all.iter_mut().enumerate().filter(|(i, _)| done[*i].is_none()) {
-            if let Step::Call(_) = told.step(now) {
+        for (i, list_validity) in all.iter_mut().enumerate().filter(|(i, _)| done[*i].is_none()) {
+            if let Step::Call(_) = list_validity.step(now) {
                 calls += 1;
                 match free < now + S {
                     true => {
                         free = free.max(now) + 15 * MS;
                         queue.push((free, i));
                     }
-                    false => told.failed(now, Failure::Ended),
+                    false => list_validity.failed(now, Failure::Rejected),
                 }
             }
         }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -4,12 +4,12 @@
 
 use bytes::{Bytes, BytesMut};
 use claywinch::interface::{Arrival, Ending};
+use claywinch::state::buffer_budget::BufferBudget;
 use claywinch::state::integrity::{Facts, Geometry, State};
 use claywinch::state::phase::Phase;
 use claywinch::state::pipe::pipe;
-use claywinch::state::places::Placed;
 use claywinch::state::planner::{Answer, AttemptEnd};
-use claywinch::state::room::Room;
+use claywinch::state::stable_index::Indexed;
 use claywinch::wire::link::{Broken, Exchange, Flow};
 use claywinch::wire::nbd::server::{Catalogue, Client as NbdClient, Export, Exports, Kind};
 use claywinch::wire::nbd::teller::{Teller, TellerError};
@@ -49,12 +49,15 @@
 fn resp_common(room: usize) -> Rc<Common> {
     let class = |(place, (name, writes)): (usize, (&str, Option<bool>))| {
         let class = common::settings().classes.remove(0);
-        Rc::new(Placed { place, value: ClassTerms { name: name.into(), deadline: 500_000, writes, class } })
+        Rc::new(Indexed {
+            index: place,
+            value: ClassTerms { name: name.into(), deadline: 500_000, writes, class },
+        })
     };
     let classes = [("read", Some(false)), ("write", Some(true)), ("both", None)];
     let classes = classes.into_iter().enumerate().map(class).collect();
     let terms = Terms { classes, plans: vec![("gold".into(), 0)], most_units: 6, shards: Some(9) };
-    Rc::new(Common::new(terms, Room::new(room), tokio::sync::watch::channel(Phase::Serving).1))
+    Rc::new(Common::new(terms, BufferBudget::new(room), tokio::sync::watch::channel(Phase::Serving).1))
 }
 
 fn resp_client() -> Client {
@@ -766,7 +769,7 @@
         assert_eq!(line.matches("\r\n").count(), 1, "one line: {line}");
     }
     assert!(!client.ending() && client.owed().is_empty());
-    assert!(common.room.take(1 << 20), "nothing is held");
+    assert!(common.budget.reserve(1 << 20), "nothing is held");
 }
 
 /// Guards against two requests under one id: nodes would take one for the other.
@@ -1016,7 +1019,7 @@
         let texts: String = (0..2).map(|id| get(&id.to_string(), FIELDS)).collect();
         client.receive(0, &mut BytesMut::from(texts.as_bytes()), &mut Vec::new());
         let (first, second) = (client.owed()[0], client.owed()[1]);
-        let (giver, taker) = pipe(&Room::new(1 << 20), 1 << 20);
+        let (giver, taker) = pipe(&BufferBudget::new(1 << 20), 1 << 20);
         client.answer(first, Answer::Served(Reply::Long(taker, 6)));
         client.answer(second, Answer::Served(Bytes::from("value").into()));
         giver.put(Bytes::from("abc"));
@@ -1037,7 +1040,7 @@
 fn nothing_is_taken_behind_a_long_value_that_is_passed_on() {
     let mut client = resp_client();
     client.receive(0, &mut BytesMut::from(get("1", FIELDS).as_bytes()), &mut Vec::new());
-    let (giver, taker) = pipe(&Room::new(1 << 20), 1 << 20);
+    let (giver, taker) = pipe(&BufferBudget::new(1 << 20), 1 << 20);
     client.answer(client.owed()[0], Answer::Served(Reply::Long(taker, 6)));
     giver.put(Bytes::from("abc"));
     assert_eq!(said_next(&mut client), "$6\r\nabc", "nothing stands behind it: it goes at once");
