--- a/src/run/tuning.rs
+++ b/src/run/active_settings.rs
@@ -4,12 +4,12 @@
 use super::settings::Start;
 use crate::interface::{Plan, Settings};
 use crate::state::stable_index::{Indexed, StableIndices};
-use crate::wire::resp::server::{ClassTerms, Terms};
+use crate::wire::resp::server::{ClassSchema, RequestSchema};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 /// What stands at a place.
-type Held = Option<Rc<Indexed<ClassTerms>>>;
+type Held = Option<Rc<Indexed<ClassSchema>>>;
 
 /// Most plans that a process ever knows. Volumes that stood on one are remembered for a while after it was dropped, so
 /// its place is not given away.
@@ -19,8 +19,8 @@
 
 /// What the settings in force are made of.
 #[derive(Default)]
-pub struct Tuning {
-    classes: StableIndices<ClassTerms>,
+pub struct ActiveSettings {
+    classes: StableIndices<ClassSchema>,
     /// Every plan that there was, by place.
     plans: Vec<(String, Plan)>,
     /// Every zone that there was, by place.
@@ -30,9 +30,9 @@
     writes: BTreeMap<String, bool>,
 }
 
-impl Tuning {
+impl ActiveSettings {
     /// Takes settings that were read whole. Nothing has changed if they can't be used.
-    pub fn take(&mut self, start: Start) -> Result<Terms, String> {
+    pub fn take(&mut self, start: Start) -> Result<RequestSchema, String> {
         start.settings.validate().map_err(|e| e.to_string())?;
         let writes = self.writes_of(&start);
         let mut plans = self.plans.clone();
@@ -61,7 +61,7 @@
         if zones.len() > MOST_ZONES {
             return Err(format!("more than {MOST_ZONES} zones since the start"));
         }
-        let class = |(place, name): (usize, String)| ClassTerms {
+        let class = |(place, name): (usize, String)| ClassSchema {
             deadline: start.deadlines[place],
             writes: writes.get(&name).copied(),
             name,
@@ -69,7 +69,7 @@
         };
         let classes = self.classes.take(start.classes.into_iter().enumerate().map(class).collect());
         (self.plans, self.writes, self.zones) = (plans, writes, zones);
-        let terms = Terms {
+        let terms = RequestSchema {
             classes,
             plans: of_plan,
             most_units: start.settings.max_units as u32,
@@ -105,7 +105,7 @@
     }
 
     /// How many places of classes are in use.
-    pub fn in_use(&self) -> usize {
+    pub fn classes_in_use(&self) -> usize {
         self.classes.all().iter().flatten().count()
     }
 
@@ -141,7 +141,7 @@
         settings::read(&text).expect("good settings")
     }
 
-    fn places(terms: &Terms) -> Vec<(String, usize, Option<bool>)> {
+    fn places(terms: &RequestSchema) -> Vec<(String, usize, Option<bool>)> {
         terms.classes.iter().map(|c| (c.value.name.clone(), c.index, c.value.writes)).collect()
     }
 
@@ -149,41 +149,41 @@
     /// was left as it was while classes came and went.
     #[test]
     fn a_class_that_is_open_stays_in_its_place_as_it_was() {
-        let mut tuning = Tuning::default();
+        let mut active = ActiveSettings::default();
         let (read, put) = (("read", "free", 500), ("put", "single_shot", 500));
-        let first = tuning.take(start(&[read, put], "[false,true]", &["gold"])).expect("taken");
+        let first = active.take(start(&[read, put], "[false,true]", &["gold"])).expect("taken");
         let open = first.classes[1].clone();
         drop(first);
         let changed = ("put", "free", 900);
-        let second = tuning.take(start(&[changed, ("scan", "free", 500)], "[false,true]", &["gold"]));
+        let second = active.take(start(&[changed, ("scan", "free", 500)], "[false,true]", &["gold"]));
         let second = second.expect("taken");
         let names = |text: &str| text.to_string();
         assert_eq!(places(&second), [(names("put"), 0, Some(true)), (names("scan"), 2, None)]);
-        let classes = tuning.settings().expect("settings").classes;
+        let classes = active.settings().expect("settings").classes;
         assert_eq!(classes[1], open.value.class, "still open as it was taken");
         assert_ne!(classes[0], classes[1]);
-        assert_eq!(tuning.in_use(), 3);
+        assert_eq!(active.classes_in_use(), 3);
         drop(open);
-        assert_eq!(tuning.in_use(), 2);
-        let classes = tuning.settings().expect("settings").classes;
+        assert_eq!(active.classes_in_use(), 2);
+        let classes = active.settings().expect("settings").classes;
         assert_eq!(classes[1], classes[0], "nothing is left of it");
     }
 
     #[test]
     fn a_plan_keeps_its_place_and_one_that_is_dropped_has_no_part() {
-        let mut tuning = Tuning::default();
+        let mut active = ActiveSettings::default();
         let read = [("read", "free", 500)];
-        tuning.take(start(&read, "[false]", &["gold", "iron"])).expect("taken");
-        let terms = tuning.take(start(&read, "[false]", &["iron", "lead"])).expect("taken");
+        active.take(start(&read, "[false]", &["gold", "iron"])).expect("taken");
+        let terms = active.take(start(&read, "[false]", &["iron", "lead"])).expect("taken");
         assert_eq!(terms.plans, [("iron".to_string(), 1), ("lead".to_string(), 2)]);
-        let plans = tuning.settings().expect("settings").plans;
+        let plans = active.settings().expect("settings").plans;
         assert_eq!((plans[0].rate, plans[0].weight, plans[1].rate), (0.0, 0.0, 9.0));
         for i in 0..MOST_PLANS {
-            let _ = tuning.take(start(&read, "[false]", &["iron", &format!("p{i}")]));
+            let _ = active.take(start(&read, "[false]", &["iron", &format!("p{i}")]));
         }
-        assert!(tuning.plans.len() <= MOST_PLANS);
+        assert!(active.plans.len() <= MOST_PLANS);
         assert!(
-            tuning.take(start(&read, "[false]", &["iron"])).is_ok(),
+            active.take(start(&read, "[false]", &["iron"])).is_ok(),
             "one that was refused changed nothing"
         );
     }
@@ -191,26 +191,26 @@
     /// Guards against what many reloads leave behind.
     #[test]
     fn zones_keep_their_places_and_are_bounded() {
-        let mut tuning = Tuning::default();
+        let mut active = ActiveSettings::default();
         let with = |zones: &[String]| Start {
             zones: zones.to_vec(),
             ..start(&[("read", "free", 500)], "[false]", &["gold"])
         };
-        tuning.take(with(&["a".to_string(), "b".to_string()])).expect("taken");
-        tuning.take(with(&["b".to_string(), "c".to_string()])).expect("taken");
-        assert_eq!(tuning.zones(), ["a", "b", "c"]);
-        let refused = (0..2 * MOST_ZONES).filter(|i| tuning.take(with(&[format!("z{i}")])).is_err()).count();
-        assert_eq!((tuning.zones().len(), refused), (MOST_ZONES, MOST_ZONES + 3));
+        active.take(with(&["a".to_string(), "b".to_string()])).expect("taken");
+        active.take(with(&["b".to_string(), "c".to_string()])).expect("taken");
+        assert_eq!(active.zones(), ["a", "b", "c"]);
+        let refused = (0..2 * MOST_ZONES).filter(|i| active.take(with(&[format!("z{i}")])).is_err()).count();
+        assert_eq!((active.zones().len(), refused), (MOST_ZONES, MOST_ZONES + 3));
     }
 
     #[test]
     fn nothing_changes_by_settings_that_make_no_sense() {
-        let mut tuning = Tuning::default();
-        let kept = tuning.take(start(&[("read", "free", 500)], "[false]", &["gold"])).expect("taken");
-        let before = tuning.settings();
+        let mut active = ActiveSettings::default();
+        let kept = active.take(start(&[("read", "free", 500)], "[false]", &["gold"])).expect("taken");
+        let before = active.settings();
         let mut bad = start(&[("scan", "free", 500)], "[false]", &["gold"]);
         bad.settings.mean_units = 0.0;
-        assert!(tuning.take(bad).is_err());
-        assert_eq!((tuning.in_use(), tuning.settings()), (kept.classes.len(), before));
+        assert!(active.take(bad).is_err());
+        assert_eq!((active.classes_in_use(), active.settings()), (kept.classes.len(), before));
     }
 }
--- a/src/run/cluster.rs
+++ b/src/run/cluster.rs
@@ -1,7 +1,7 @@
 //! Drives the membership among brokers: its file, its socket, its store and its turns.
 
 use super::error::{io, StartError};
-use super::folder::off_thread;
+use super::folder::run_blocking;
 use crate::interface::Time;
 use crate::state::membership::council::CouncilError;
 use crate::state::membership::delta::Delta;
@@ -320,7 +320,7 @@
         // One that another process holds is waited for.
         let path = file.store.clone().unwrap_or_default();
         let asked = file.clone();
-        let opened = off_thread(move || open(&asked)).await.unwrap_or(Err(StoreError::Held));
+        let opened = run_blocking(move || open(&asked)).await.unwrap_or(Err(StoreError::Held));
         let store = match opened {
             Ok(store) => Some(store),
             Err(StoreError::Held) => None,
@@ -404,7 +404,7 @@
         let mut said = false;
         loop {
             let file = self.file.clone();
-            match off_thread(move || open(&file)).await.unwrap_or(Err(StoreError::Held)) {
+            match run_blocking(move || open(&file)).await.unwrap_or(Err(StoreError::Held)) {
                 Err(StoreError::Held) => {
                     let path = self.file.store.clone().unwrap_or_default();
                     if !std::mem::replace(&mut said, true) {
@@ -424,7 +424,7 @@
         };
         let store = Arc::new(store);
         let loading = store.clone();
-        let kept = off_thread(move || loading.load()).await;
+        let kept = run_blocking(move || loading.load()).await;
         let kept = kept.ok_or_else(|| Over::Thread("its store was not read".to_string()))??;
         let node = Node::new(self.clock.now(), self.file.settings(), self.seed, kept.as_deref())?;
         let part = self.part.clone();
--- a/src/run/folder.rs
+++ b/src/run/folder.rs
@@ -1,5 +1,5 @@
 //! The files in the folder that processes of one broker share. All of it may block for as long as the folder does, so it
-//! runs on threads of its own once the broker serves: [`off_thread`].
+//! runs on threads of its own once the broker serves: [`run_blocking`].
 //!
 //! The hand-over file is written aside and renamed into place, so a reader finds a whole one or none.
 
@@ -17,7 +17,7 @@
 const TRIES: usize = 30;
 
 /// Runs what may block on a thread of its own. Nothing comes of it if it panics or the runtime ends.
-pub async fn off_thread<T: Send + 'static>(work: impl FnOnce() -> T + Send + 'static) -> Option<T> {
+pub async fn run_blocking<T: Send + 'static>(work: impl FnOnce() -> T + Send + 'static) -> Option<T> {
     tokio::task::spawn_blocking(work).await.ok()
 }
 
@@ -201,7 +201,7 @@
         drop(lock);
         (kept, place(&path).is_none())
     };
-    off_thread(put).await.unwrap_or((false, false))
+    run_blocking(put).await.unwrap_or((false, false))
 }
 
 fn put(path: &Path, id: u64, handover: &Handover) -> bool {
--- a/src/run/front.rs
+++ b/src/run/front.rs
@@ -7,7 +7,7 @@
 use crate::state::phase::Phase;
 use crate::state::planner::Wire;
 use crate::wire::clock::Clock;
-use crate::wire::session::{serve, Admission, Session, Site, Visit};
+use crate::wire::session::{serve, Admission, NewConnection, Session, SessionContext};
 use crate::wire::socket::{accepted_now, unread, Unread};
 use std::cell::{Cell, RefCell};
 use std::io::ErrorKind;
@@ -19,9 +19,9 @@
 /// Connections that are taken in one turn when the listener is about to close.
 const TURN: usize = 128;
 /// Connections beyond its places that a full front accepts to refuse them.
-pub const MOST_REFUSED: usize = 8;
+pub const MAX_REFUSED: usize = 8;
 /// Connections beyond its places that a full front accepts and lets wait for one.
-pub const MOST_WAITING: usize = 1;
+pub const MAX_WAITING: usize = 1;
 /// How long to wait when descriptors or seats have run out.
 const FULL_RETRY: Duration = Duration::from_millis(2);
 /// How often the log says that connections cannot be taken.
@@ -34,19 +34,19 @@
     /// Where they connect.
     pub listener: TcpListener,
     /// What their sessions share.
-    pub site: Site<W>,
+    pub context: SessionContext<W>,
     /// Those that are connected.
     pub slots: ClientSlots,
     /// How many there may be.
-    pub most: Rc<Cell<usize>>,
+    pub max_clients: Rc<Cell<usize>>,
     /// How long a connection may wait for a place, in microseconds, by the settings in force.
-    pub patience: Box<dyn Fn() -> Time>,
+    pub accept_timeout: Box<dyn Fn() -> Time>,
     /// Whether another process may accept on the same socket.
     pub shared: bool,
     /// How long connections have waited to be accepted.
-    pub queue: Cell<AcceptQueue>,
+    pub accept_queue: Cell<AcceptQueue>,
     /// What the system tells of that where this process cannot know.
-    pub ages: RefCell<SocketAges>,
+    pub socket_ages: RefCell<SocketAges>,
     /// The connection that is accepted and waits for a place.
     pub waiting: RefCell<Option<Accepted>>,
 }
@@ -77,7 +77,7 @@
                 phase.accepts_as_only_listener()
             }
         };
-        let mut phase = self.site.phase.clone();
+        let mut phase = self.context.phase.clone();
         loop {
             tokio::select! {
                 biased;
@@ -113,7 +113,13 @@
         for taken in 1_usize.. {
             if taken.is_multiple_of(TURN) {
                 tokio::task::yield_now().await;
-                if self.site.phase.borrow().last_answer_at().is_some_and(|at| at <= self.site.pulse.now()) {
+                if self
+                    .context
+                    .phase
+                    .borrow()
+                    .last_answer_at()
+                    .is_some_and(|at| at <= self.context.loop_clock.now())
+                {
                     // Whoever still comes could not be answered any more.
                     return;
                 }
@@ -136,34 +142,34 @@
 
     /// Takes note of what is known of the accept queue from now on.
     fn note(&self, what: impl FnOnce(&mut AcceptQueue, Time)) {
-        let mut queue = self.queue.get();
-        what(&mut queue, self.site.pulse.came());
-        self.queue.set(queue);
+        let mut queue = self.accept_queue.get();
+        what(&mut queue, self.context.loop_clock.came());
+        self.accept_queue.set(queue);
     }
 
     /// Asks those that can be spared to leave, and gives them a moment.
     async fn make_room(&self) {
-        let now = self.site.pulse.now();
-        let press = self.queue.get().pressure(now);
+        let now = self.context.loop_clock.now();
+        let press = self.accept_queue.get().pressure(now);
         while self.slots.evict_one(now, press) {}
         tokio::time::sleep(FULL_RETRY).await;
     }
 
     /// The earliest moment at which what lies on a connection may have come that is accepted now.
     fn arrival(&self, stream: &TcpStream) -> Time {
-        let queue = self.queue.get();
-        let known = queue.earliest_arrival(self.site.pulse.came());
+        let queue = self.accept_queue.get();
+        let known = queue.earliest_arrival(self.context.loop_clock.came());
         if !queue.is_unattended() || unread(stream) != Unread::Bytes {
             return known;
         }
-        let age = self.ages.borrow_mut().since_data(stream);
-        age.map_or(known, |age| self.site.pulse.now() - age.as_micros() as Time)
+        let age = self.socket_ages.borrow_mut().since_data(stream);
+        age.map_or(known, |age| self.context.loop_clock.now() - age.as_micros() as Time)
     }
 
     fn serve<S: Session<W>>(&self, next: Accepted, session: &impl Fn() -> S, admission: Admission) {
         let Accepted { stream, arrived } = next;
-        let visit = Visit { slot: self.slots.take(), arrived, admission };
-        tokio::task::spawn_local(serve(stream, session(), self.site.clone(), visit));
+        let connection = NewConnection { slot: self.slots.take(), arrived, admission };
+        tokio::task::spawn_local(serve(stream, session(), self.context.clone(), connection));
     }
 
     fn accepted(&self, stream: TcpStream) -> Accepted {
@@ -176,7 +182,7 @@
     async fn wait_for_a_place<S: Session<W>>(&self, session: &impl Fn() -> S) {
         self.accept_waiting().await;
         self.make_room().await;
-        let places = self.most.get()..self.most.get() + MOST_REFUSED;
+        let places = self.max_clients.get()..self.max_clients.get() + MAX_REFUSED;
         while places.contains(&self.slots.len()) && self.is_too_late() {
             self.serve_waiting(session, Admission::Refused);
             if !self.accept_waiting().await {
@@ -187,7 +193,7 @@
 
     /// Whether connections have waited for so long that they are refused rather than wait any more.
     fn is_too_late(&self) -> bool {
-        self.queue.get().max_wait(self.site.pulse.now()) > (self.patience)()
+        self.accept_queue.get().max_wait(self.context.loop_clock.now()) > (self.accept_timeout)()
     }
 
     /// Accepts the connection that is to wait for a place; whether there is one.
@@ -222,12 +228,12 @@
     /// connections that can be spared to leave, rather than let new ones wait.
     async fn take<S: Session<W>>(&self, session: &impl Fn() -> S) {
         let mut said = None;
-        if self.queue.get().is_unattended() {
+        if self.accept_queue.get().is_unattended() {
             // What is there is seen only after a look at the sockets.
             tokio::time::sleep(FULL_RETRY).await;
         }
         loop {
-            while self.slots.len() >= self.most.get() {
+            while self.slots.len() >= self.max_clients.get() {
                 self.wait_for_a_place(session).await;
             }
             if self.waiting.borrow().is_some() {
--- a/src/run/handover.rs
+++ b/src/run/handover.rs
@@ -1,7 +1,7 @@
 //! Keeps the file in which one process of a broker leaves what the next must know, and by which two that run side by
 //! side know one another. The file itself is read and written in [`super::folder`], on other threads.
 
-use super::folder::{self, off_thread, Place, Sight};
+use super::folder::{self, run_blocking, Place, Sight};
 use crate::interface::{ListKind, Time};
 use crate::state::handover::{Handover, NodeLeft, Process};
 use crate::state::maintenance::Maintenance;
@@ -34,7 +34,7 @@
 pub type Share = Rc<dyn Fn(usize) -> (usize, usize)>;
 
 /// Keeps the file of a process.
-pub struct Keeper<W: Wire> {
+pub struct HandoverTask<W: Wire> {
     /// The file.
     pub path: PathBuf,
     /// This process.
@@ -44,7 +44,7 @@
     /// Version of the list.
     pub revision: Rc<Cell<u64>>,
     /// Who wants the calls written down now.
-    pub wishes: UnboundedReceiver<Keep>,
+    pub save_requests: UnboundedReceiver<Keep>,
     /// The planner.
     pub planner: UnboundedSender<Input<W>>,
     /// The broker's phase.
@@ -75,7 +75,7 @@
     beat: Time,
 }
 
-impl<W: Wire> Keeper<W> {
+impl<W: Wire> HandoverTask<W> {
     /// Looks and writes until the process ends. `beside` says that another process seems to run.
     pub async fn run(mut self, mut beside: bool) {
         let mut seen = Seen::default();
@@ -83,7 +83,7 @@
         let mut pause = Duration::ZERO;
         loop {
             let wish = tokio::select! {
-                wish = self.wishes.recv() => wish,
+                wish = self.save_requests.recv() => wish,
                 () = tokio::time::sleep(pause) => None,
             };
             pause = if self.own.part > 0.0 { LOOK } else { LOOK_AGAIN };
@@ -108,7 +108,7 @@
                 self.own.ready = ready;
                 let kept = self.write(now).await;
                 let path = self.path.clone();
-                let place = off_thread(move || folder::place(&path)).await.flatten();
+                let place = run_blocking(move || folder::place(&path)).await.flatten();
                 seen = Seen { place, written: Some(self.revision.get()), beat: now };
                 if let Some(wish) = wish {
                     // A caller that is gone need not be told.
@@ -125,7 +125,7 @@
         }
         let (path, own, before) = (self.path.clone(), self.own.id, seen.place);
         let always = beside || self.own.part < 1.0;
-        off_thread(move || folder::look(&path, own, before, always)).await
+        run_blocking(move || folder::look(&path, own, before, always)).await
     }
 
     /// Takes what another process has written; whether one runs.
@@ -196,7 +196,7 @@
     /// a time, so that none writes over what another has promised.
     async fn write(&mut self, now: Time) -> bool {
         let (path, own) = (self.path.clone(), self.own.id);
-        let taken = off_thread(move || folder::take(&path, own)).await;
+        let taken = run_blocking(move || folder::take(&path, own)).await;
         let taken = match taken {
             Some(Ok(taken)) => taken,
             Some(Err(folder::NotTaken::Held)) | None => return false,
--- a/src/run/limits.rs
+++ b/src/run/limits.rs
@@ -1,10 +1,10 @@
 //! What the deployment lets this process hold, shared out between clients and links.
 
-use super::front::{MOST_REFUSED, MOST_WAITING};
+use super::front::{MAX_REFUSED, MAX_WAITING};
 
 /// Descriptors kept for the listeners, discovery (twice while it moves), the runtime, the log, signals and the connections that a
 /// full front refuses.
-const RESERVED: usize = 24 + MOST_REFUSED + MOST_WAITING;
+const RESERVED: usize = 24 + MAX_REFUSED + MAX_WAITING;
 /// Memory that a client connection may take: its read buffer, and its unread answers.
 const CLIENT_KB: usize = 96;
 /// Memory that an NBD client may take: its requests, which hold up to 1 MiB each, and their replies.
--- a/src/run/mod.rs
+++ b/src/run/mod.rs
@@ -1,11 +1,11 @@
 //! Start and stop: what the environment says, limits, signals, exit.
 
+pub mod active_settings;
 pub mod catalogue;
 pub mod cluster;
 pub mod commands;
 pub mod config;
 pub mod error;
-pub mod fleet;
 pub mod folder;
 pub mod front;
 pub mod handover;
@@ -15,10 +15,10 @@
 pub mod nbd;
 pub mod passed;
 pub mod peers;
+pub mod planner_driver;
 pub mod reload;
 pub mod settings;
 pub mod socket_age;
 pub mod start;
 pub mod stop;
-pub mod tuning;
 pub mod voter;
--- a/src/run/nbd.rs
+++ b/src/run/nbd.rs
@@ -2,12 +2,12 @@
 
 use super::catalogue::{Deploy, Shared};
 use super::error::StartError;
-use super::fleet::Fleet;
-use super::folder::off_thread;
+use super::folder::run_blocking;
 use super::front::{sweep, Front};
 use super::limits::Limits;
 use super::listen::listen;
 use super::peers::Peers;
+use super::planner_driver::PlannerDriver;
 use super::settings::Bounds;
 use crate::interface::{ListKind, Time};
 use crate::state::accept_queue::AcceptQueue;
@@ -24,7 +24,7 @@
 use crate::wire::nbd::guard::Guard;
 use crate::wire::nbd::server::{Client, Exports};
 use crate::wire::nbd::Nbd;
-use crate::wire::session::{Numbers, Site};
+use crate::wire::session::{RequestIds, SessionContext};
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -114,37 +114,42 @@
         planner: own.clone(),
         deploy: deploy.clone(),
     };
-    let ids = Numbers::default();
+    let ids = RequestIds::default();
     let interceptor =
         Guard::new(exports.clone(), ids.clone(), deploy.integrity.pages(), deploy.settings().warmup_time);
     let (ending, ended) = unbounded_channel();
-    let fleet = Fleet {
+    let driver = PlannerDriver {
         name: "nbd",
         planner,
         interceptor,
-        ending: ended,
+        shutdown_requests: ended,
         inputs,
-        own: own.clone(),
-        pulse: place.pulse.clone(),
+        input_sender: own.clone(),
+        loop_clock: place.pulse.clone(),
         connect_timeout: Rc::new(Cell::new(bounds.connect())),
-        budget: BufferBudget::new(place.limits.room),
+        reply_budget: BufferBudget::new(place.limits.room),
         permit: place.permit,
     };
     let names = exports.clone();
     tokio::task::spawn_local(
-        fleet.run(move |lane| Node::new(names.borrow().name(lane).unwrap_or_default().into())),
+        driver.run(move |lane| Node::new(names.borrow().name(lane).unwrap_or_default().into())),
     );
     let slots = ClientSlots::default();
     let front = Front {
         listener: listen(&address)?,
-        site: Site { planner: own.clone(), guard: request_guard, pulse: place.pulse, phase: place.phase },
+        context: SessionContext {
+            planner: own.clone(),
+            guard: request_guard,
+            loop_clock: place.pulse,
+            phase: place.phase,
+        },
         slots: slots.clone(),
-        most: Rc::new(Cell::new(place.limits.clients)),
+        max_clients: Rc::new(Cell::new(place.limits.clients)),
         // Clients say nothing before they are greeted, so nothing is owed to those that wait.
-        patience: Box::new(|| Time::MAX),
+        accept_timeout: Box::new(|| Time::MAX),
         shared: false,
-        queue: Cell::new(AcceptQueue::of_own_socket()),
-        ages: RefCell::default(),
+        accept_queue: Cell::new(AcceptQueue::of_own_socket()),
+        socket_ages: RefCell::default(),
         waiting: RefCell::default(),
     };
     tokio::task::spawn_local(sweep(slots.clone(), place.clock));
@@ -172,7 +177,7 @@
     tokio::task::spawn_local(async move {
         while hangup.recv().await.is_some() {
             let file = path.clone();
-            match off_thread(move || Deploy::load(&file)).await {
+            match run_blocking(move || Deploy::load(&file)).await {
                 Some(Ok(Some(new))) => news(new.shared),
                 Some(Ok(None)) => tracing::error!(path, "configuration is gone; the last one stays"),
                 Some(Err(error)) => tracing::error!(%error, "configuration not taken"),
--- a/src/run/peers.rs
+++ b/src/run/peers.rs
@@ -2,7 +2,7 @@
 
 use super::catalogue::Peer;
 use super::error::StartError;
-use super::folder::off_thread;
+use super::folder::run_blocking;
 use super::listen::listen;
 use crate::state::agreement::{Agreement, AgreementError};
 use crate::wire::raft::{decode, encode};
@@ -19,7 +19,7 @@
 /// Wait before connecting to a peer again.
 const AGAIN: Duration = Duration::from_millis(250);
 /// Messages that wait for a peer; more are dropped, which the consensus bears.
-const MOST_WAITING: usize = 256;
+const MAX_WAITING: usize = 256;
 
 /// The instance among its peers.
 pub struct Peers {
@@ -44,7 +44,7 @@
             if peer.id == self.own {
                 tokio::task::spawn_local(accept(listen(&peer.address)?, inbox.clone()));
             } else {
-                let (sender, waiting) = channel(MOST_WAITING);
+                let (sender, waiting) = channel(MAX_WAITING);
                 outboxes.insert(peer.id, sender);
                 tokio::task::spawn_local(deliver(peer.address.clone(), waiting));
             }
@@ -64,7 +64,7 @@
                 }
                 // What it promises is kept on disk first, which takes as long as the disk does.
                 let mut agreement = self.agreement;
-                let kept = off_thread(move || {
+                let kept = run_blocking(move || {
                     let turn = agreement.turn();
                     (agreement, turn)
                 });
--- a/src/run/fleet.rs
+++ b/src/run/planner_driver.rs
@@ -24,7 +24,7 @@
 const REPORT: Time = 10_000_000;
 
 /// A planner with its sockets.
-pub struct Fleet<W: Wire, G> {
+pub struct PlannerDriver<W: Wire, G> {
     /// What it is called in the log.
     pub name: &'static str,
     /// The planner.
@@ -34,50 +34,50 @@
     /// What happens.
     pub inputs: UnboundedReceiver<Input<W>>,
     /// Comes when all clients are gone; told when the interceptor has come to its end, too.
-    pub ending: UnboundedReceiver<oneshot::Sender<()>>,
+    pub shutdown_requests: UnboundedReceiver<oneshot::Sender<()>>,
     /// Where links report to.
-    pub own: UnboundedSender<Input<W>>,
+    pub input_sender: UnboundedSender<Input<W>>,
     /// The time, and how late this process runs.
-    pub pulse: Pulse,
+    pub loop_clock: Pulse,
     /// How long a link's connection may take to come up.
     pub connect_timeout: Rc<Cell<Duration>>,
     /// Room for replies that are not whole yet.
-    pub budget: BufferBudget,
+    pub reply_budget: BufferBudget,
     /// Until when what may be written to nodes.
     pub permit: Permit,
 }
 
-impl<W: Wire, G: Interceptor<W>> Fleet<W, G> {
+impl<W: Wire, G: Interceptor<W>> PlannerDriver<W, G> {
     /// Turns until the process ends; `exchange` makes the protocol of a new link on a lane.
     pub async fn run<X: Exchange<W>>(mut self, exchange: impl Fn(ChannelKind) -> X) {
         let mut links: HashMap<LinkId, UnboundedSender<Order<W>>> = HashMap::new();
         let (mut inputs, mut taken, mut effects) = (Vec::new(), Vec::new(), Vec::new());
         let mut ended: Option<oneshot::Sender<()>> = None;
-        let (mut report_at, mut was_late) = (self.pulse.now() + REPORT, false);
+        let (mut report_at, mut was_late) = (self.loop_clock.now() + REPORT, false);
         loop {
             let wakes = [self.planner.next_deadline(), self.interceptor.next_deadline(), Some(report_at)];
             let wake = wakes.into_iter().flatten().min().unwrap_or(report_at);
             tokio::select! {
                 n = self.inputs.recv_many(&mut inputs, MOST_INPUTS) => if n == 0 { return },
-                Some(told) = self.ending.recv() => {
+                Some(told) = self.shutdown_requests.recv() => {
                     ended = Some(told);
-                    self.interceptor.stop(self.pulse.now(), &mut taken);
+                    self.interceptor.stop(self.loop_clock.now(), &mut taken);
                 }
-                () = tokio::time::sleep_until(self.pulse.clock().instant(wake).into()) => {}
+                () = tokio::time::sleep_until(self.loop_clock.clock().instant(wake).into()) => {}
             }
             // What is due is measured by what lies in the sockets, too: an answer that is there has come in time.
-            let late = self.pulse.lag().max(self.pulse.now() - wake);
-            self.pulse.catch_up().await;
+            let late = self.loop_clock.lag().max(self.loop_clock.now() - wake);
+            self.loop_clock.catch_up().await;
             let room = MOST_INPUTS - inputs.len();
             inputs.extend((0..room).map_while(|_| self.inputs.try_recv().ok()));
-            let now = self.pulse.now();
+            let now = self.loop_clock.now();
             // One that is late once was held up from outside, and has read what came meanwhile. One that stays late has too
             // much to do.
             if late > ON_TIME && was_late {
                 taken.push(Input::HostLateness(late));
             }
             was_late = late > ON_TIME;
-            self.planner.note_lateness(self.pulse.lately());
+            self.planner.note_lateness(self.loop_clock.lately());
             let (count, work) = (inputs.len(), self.planner.work());
             for input in inputs.drain(..) {
                 if let Input::LinkDown(link, _) = &input {
@@ -106,9 +106,9 @@
                             connect_timeout: self.connect_timeout.get(),
                             exchange: exchange(lane),
                             orders,
-                            planner: self.own.clone(),
-                            pulse: self.pulse.clone(),
-                            budget: self.budget.clone(),
+                            planner: self.input_sender.clone(),
+                            pulse: self.loop_clock.clone(),
+                            budget: self.reply_budget.clone(),
                             permit: self.permit.clone(),
                             guard: self.planner.guard().clone(),
                             queue: VecDeque::new(),
@@ -121,7 +121,7 @@
                         if !sent {
                             // The link has ended, and says so in the next turn; this was never written.
                             let end = AttemptEnd::without_reply(Ending::Unreachable);
-                            let _ = self.own.send(Input::AttemptEnded(link, tag, end));
+                            let _ = self.input_sender.send(Input::AttemptEnded(link, tag, end));
                         }
                     }
                     Effect::Withdraw(link, tag) => {
@@ -136,12 +136,12 @@
                     }
                     // The scheduler of today asks for none; a node that was not probed proves nothing.
                     Effect::Probe(node, _) => {
-                        let _ = self.own.send(Input::Probed(node, Ending::NotSent, None));
+                        let _ = self.input_sender.send(Input::Probed(node, Ending::NotSent, None));
                     }
                 }
             }
-            self.pulse.spent("a turn of the scheduler", now);
-            let took = self.pulse.now() - now;
+            self.loop_clock.spent("a turn of the scheduler", now);
+            let took = self.loop_clock.now() - now;
             if took > LONG_TURN || late > LONG_TURN * 5 {
                 let (requests, attempts, _) = self.planner.load();
                 let (work, waiting) = (self.planner.work() - work, self.planner.waiting());
@@ -167,7 +167,7 @@
     fn report(&mut self) {
         let (late, counts, load) =
             (self.planner.take_lateness(), self.planner.take_counts(), self.planner.load());
-        self.interceptor.report(self.pulse.now());
+        self.interceptor.report(self.loop_clock.now());
         tracing::info!(
             fleet = self.name,
             requests = load.0,
--- a/src/run/reload.rs
+++ b/src/run/reload.rs
@@ -1,9 +1,9 @@
 //! Takes the configuration anew at each SIGHUP, whole or not at all.
 
+use super::active_settings::ActiveSettings;
 use super::config::{reread, Reread};
-use super::folder::off_thread;
+use super::folder::run_blocking;
 use super::settings::Start;
-use super::tuning::Tuning;
 use crate::interface::Time;
 use crate::state::list_validity::Terms;
 use crate::state::phase::{grace, Phase, Transition};
@@ -11,7 +11,7 @@
 use crate::state::pool::LinkSettings;
 use crate::wire::admin::desk::step;
 use crate::wire::clock::Clock;
-use crate::wire::resp::server::Common;
+use crate::wire::resp::server::SharedState;
 use crate::wire::resp::Resp;
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -25,15 +25,15 @@
 const RETIRING: Duration = Duration::from_millis(500);
 
 /// What is changed by a new configuration.
-pub struct Reloading {
+pub struct ConfigReloader {
     /// The file.
     pub path: String,
     /// The settings in force as they stand in their file.
     pub text: Value,
     /// The settings in force, and what is still open under older ones.
-    pub tuning: Tuning,
+    pub active: ActiveSettings,
     /// What sessions share.
-    pub common: Rc<Common>,
+    pub common: Rc<SharedState>,
     /// The planner.
     pub planner: UnboundedSender<Input<Resp>>,
     /// Names of the zones.
@@ -57,10 +57,10 @@
     start.deadlines.iter().copied().max().unwrap_or(0)
 }
 
-impl Reloading {
+impl ConfigReloader {
     /// Reads at each SIGHUP. A file that cannot be used changes nothing.
     pub async fn run(mut self, mut hangup: Signal) {
-        let (mut links, mut in_use) = (None, self.tuning.in_use());
+        let (mut links, mut in_use) = (None, self.active.classes_in_use());
         loop {
             tokio::select! {
                 hung = hangup.recv() => {
@@ -76,8 +76,8 @@
                 () = tokio::time::sleep(RETIRING), if links.is_some() && in_use != self.live() => {}
             }
             // The last request of a class that was dropped may have had its answer.
-            if let Some(links) = links.filter(|_| in_use != self.tuning.in_use()) {
-                in_use = self.tuning.in_use();
+            if let Some(links) = links.filter(|_| in_use != self.active.classes_in_use()) {
+                in_use = self.active.classes_in_use();
                 self.tell(links);
             }
         }
@@ -86,21 +86,21 @@
     /// Reads the file on another thread: the folder may be slow, and answers are owed meanwhile.
     async fn read(&self) -> Result<Reread, String> {
         let (path, text) = (self.path.clone(), self.text.clone());
-        let read = off_thread(move || reread(&path, &text)).await;
+        let read = run_blocking(move || reread(&path, &text)).await;
         read.ok_or("the file was not read")?.map_err(|error| error.to_string())
     }
 
     /// Classes that clients may name.
     fn live(&self) -> usize {
-        self.common.terms.borrow().classes.len()
+        self.common.schema.borrow().classes.len()
     }
 
     /// Takes what was read whole, all at once.
     fn take(&mut self, new: Reread) -> Result<LinkSettings, String> {
         let (bounds, lists, deadlines) = (new.start.bounds, new.start.lists, longest(&new.start));
-        let terms = self.tuning.take(new.start)?;
-        *self.common.terms.borrow_mut() = Rc::new(terms);
-        *self.zones.borrow_mut() = self.tuning.zones();
+        let terms = self.active.take(new.start)?;
+        *self.common.schema.borrow_mut() = Rc::new(terms);
+        *self.zones.borrow_mut() = self.active.zones();
         self.connect_timeout.set(bounds.connect());
         self.lists.set(lists);
         self.deadlines.set(deadlines);
@@ -112,14 +112,19 @@
         self.tell(bounds.links());
         let classes = self.live();
         let discovery = new.discovery.unwrap_or_else(|| self.discovery.borrow().clone());
-        tracing::info!(discovery, classes, open_classes = self.tuning.in_use(), "configuration read anew");
+        tracing::info!(
+            discovery,
+            classes,
+            open_classes = self.active.classes_in_use(),
+            "configuration read anew"
+        );
         self.discovery.send_if_modified(|old| std::mem::replace(old, discovery.clone()) != discovery);
         Ok(bounds.links())
     }
 
     /// Tells the scheduler. What clients asked before is on its way to it before this.
     fn tell(&self, links: LinkSettings) {
-        if let Some(settings) = self.tuning.settings() {
+        if let Some(settings) = self.active.settings() {
             let _ = self.planner.send(Input::Settings(Box::new(settings), links));
         }
     }
--- a/src/run/start.rs
+++ b/src/run/start.rs
@@ -1,19 +1,19 @@
 //! Puts the broker together, serves until it is told to stop, and sees everything answered before it ends.
 
+use super::active_settings::ActiveSettings;
 use super::catalogue::Deploy;
 use super::cluster::{Cluster, Hooks, Order, WithoutLease};
 use super::config::{Config, ConfigError};
 use super::error::{io, StartError};
-use super::fleet::Fleet;
 use super::folder;
 use super::front::{sweep, Front};
-use super::handover::Keeper;
+use super::handover::HandoverTask;
 use super::limits::Limits;
 use super::listen::{adopt, listen_soon};
 use super::nbd;
-use super::reload::{longest, Reloading};
-use super::stop::Ending;
-use super::tuning::Tuning;
+use super::planner_driver::PlannerDriver;
+use super::reload::{longest, ConfigReloader};
+use super::stop::Shutdown;
 use crate::interface::{ListKind, Time};
 use crate::state::accept_queue::AcceptQueue;
 use crate::state::buffer_budget::BufferBudget;
@@ -34,9 +34,9 @@
 use crate::wire::discovery::NodeNumbers;
 use crate::wire::link::{Limits as Written, Permit};
 use crate::wire::resp::client::Node;
-use crate::wire::resp::server::{Client, Common};
+use crate::wire::resp::server::{Client, SharedState};
 use crate::wire::resp::Resp;
-use crate::wire::session::Site;
+use crate::wire::session::SessionContext;
 use crate::wire::watch::WatchTask;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -93,12 +93,12 @@
     let most = Rc::new(Cell::new(own_limits.clients));
     let pool = PoolLimits { links: own_limits.links, links_per_node: 40, terms: bounds.links() };
 
-    let mut tuning = Tuning::default();
+    let mut active = ActiveSettings::default();
     let deadlines = Rc::new(Cell::new(longest(&config.start)));
     let unusable = |reason| ConfigError::Content { path: config.path.clone(), reason };
-    let terms = tuning.take(config.start).map_err(unusable)?;
-    let settings = tuning.settings().ok_or(unusable("it has no classes".to_string()))?;
-    let zones = Rc::new(RefCell::new(tuning.zones()));
+    let terms = active.take(config.start).map_err(unusable)?;
+    let settings = active.settings().ok_or(unusable("it has no classes".to_string()))?;
+    let zones = Rc::new(RefCell::new(active.zones()));
     let cold = settings.warmup_time + settings.cold_window;
     let planner = Planner::<Resp>::new(settings, config.seed, clock.now(), pool)?;
     let guard = planner.guard().clone();
@@ -141,25 +141,25 @@
     let bound = config.cluster.as_ref().is_some_and(|file| file.without_lease == WithoutLease::Stop);
     let lease = Rc::new(Cell::new(if bound { Time::MIN } else { Time::MAX }));
     let permit: Permit = Rc::new(Written { lease, list: Cell::new(Time::MAX) });
-    let fleet = Fleet {
+    let driver = PlannerDriver {
         name: "resp",
         planner,
         interceptor: PassThrough,
-        ending: unbounded_channel().1,
+        shutdown_requests: unbounded_channel().1,
         inputs,
-        own: own.clone(),
-        pulse: pulse.clone(),
+        input_sender: own.clone(),
+        loop_clock: pulse.clone(),
         connect_timeout: connect_timeout.clone(),
-        budget: budget.clone(),
+        reply_budget: budget.clone(),
         permit: permit.clone(),
     };
-    tokio::task::spawn_local(fleet.run(move |_| Node::new(windows.clone())));
-    let common = Rc::new(Common::new(terms, budget, phases.clone()));
+    tokio::task::spawn_local(driver.run(move |_| Node::new(windows.clone())));
+    let common = Rc::new(SharedState::new(terms, budget, phases.clone()));
     let (moved, address) = watch::channel(config.discovery);
-    let follow = Reloading {
+    let follow = ConfigReloader {
         path: config.path,
         text: config.text,
-        tuning,
+        active,
         common: common.clone(),
         planner: own.clone(),
         zones: zones.clone(),
@@ -194,30 +194,30 @@
             Some(passed) => adopt(passed)?,
             None => listen_soon(&config.listen).await?,
         },
-        site: Site {
+        context: SessionContext {
             planner: own.clone(),
             guard: guard.clone(),
-            pulse: pulse.clone(),
+            loop_clock: pulse.clone(),
             phase: phases.clone(),
         },
         slots: slots.clone(),
-        most: most.clone(),
-        patience: Box::new({
+        max_clients: most.clone(),
+        accept_timeout: Box::new({
             let common = common.clone();
-            move || common.terms.borrow().patience()
+            move || common.schema.borrow().accept_timeout()
         }),
         shared: inherited,
-        queue: Cell::new(match inherited {
+        accept_queue: Cell::new(match inherited {
             true => AcceptQueue::of_shared_socket(clock.now()),
             false => AcceptQueue::of_own_socket(),
         }),
-        ages: RefCell::default(),
+        socket_ages: RefCell::default(),
         waiting: RefCell::default(),
     };
     let (keeper, wanted) = unbounded_channel();
     let (part, mut parts) = watch::channel(0.0);
     if let Some(path) = &file {
-        let task = Keeper {
+        let task = HandoverTask {
             path: path.clone(),
             own: Process {
                 id,
@@ -230,7 +230,7 @@
             },
             maintenance: maintenance.clone(),
             revision,
-            wishes: wanted,
+            save_requests: wanted,
             planner: own.clone(),
             phase: phase.clone(),
             cold,
@@ -296,11 +296,11 @@
     let _ = step(&phase, Transition::Started, clock.now());
     tracing::info!(name = config.name, listen = config.listen, inherited, beside, ?limits, "serving");
 
-    let ending = Ending {
+    let shutdown = Shutdown {
         planner: own,
         guard,
         phase,
-        pulse,
+        loop_clock: pulse,
         slots,
         nbd,
         accepting,
@@ -315,6 +315,6 @@
         // Beside the last answers, not before them.
         tokio::task::spawn_local(async move { cluster.leave().await });
     }
-    ending.run().await;
+    shutdown.run().await;
     Ok(())
 }
--- a/src/run/stop.rs
+++ b/src/run/stop.rs
@@ -1,6 +1,6 @@
 //! The end of a broker that was told to stop: what it has taken is answered before it may be killed.
 
-use super::folder::{self, off_thread};
+use super::folder::{self, run_blocking};
 use super::nbd;
 use crate::interface::Time;
 use crate::state::client_slots::ClientSlots;
@@ -31,7 +31,7 @@
 const LOOK: Duration = Duration::from_millis(5);
 
 /// What takes part in the end.
-pub struct Ending {
+pub struct Shutdown {
     /// The planner.
     pub planner: UnboundedSender<Input<Resp>>,
     /// Whether any rule was broken.
@@ -39,7 +39,7 @@
     /// The broker's phase.
     pub phase: Rc<watch::Sender<Phase>>,
     /// The time, and how late this process runs.
-    pub pulse: Pulse,
+    pub loop_clock: Pulse,
     /// The clients.
     pub slots: ClientSlots,
     /// The NBD front, if there is one.
@@ -52,19 +52,19 @@
     pub hand_over: Option<(PathBuf, u64)>,
 }
 
-impl Ending {
+impl Shutdown {
     /// Runs from the signal until everything is answered.
     pub async fn run(self) {
         // The signal may have come at the beginning of a stall: the kill counts from then.
-        let told = self.pulse.came();
+        let told = self.loop_clock.came();
         tracing::info!(clients = self.slots.len(), "stopping");
         self.begin(told).await;
-        self.pulse.sleep_until(told + STILL_ACCEPTING).await;
+        self.loop_clock.sleep_until(told + STILL_ACCEPTING).await;
         // One that hands over reads on for longer, whenever it learns that it does.
         if matches!(*self.phase.borrow(), Phase::HandingOver(..)) {
-            self.pulse.sleep_until(told + last_read(self.grace())).await;
+            self.loop_clock.sleep_until(told + last_read(self.grace())).await;
         }
-        self.step(Transition::Close, self.pulse.now());
+        self.step(Transition::Close, self.loop_clock.now());
         let empty = || self.slots.is_empty() && self.nbd.as_ref().is_none_or(|n| n.slots.is_empty());
         let emptied = async {
             // What the kernel had accepted takes its seats first. A task that is gone takes none.
@@ -83,7 +83,7 @@
             Err(_) => tracing::warn!(clients = self.slots.len(), "stopped with clients unanswered"),
         }
         if let Some((path, id)) = self.hand_over {
-            let left = off_thread(move || folder::leave(&path, id));
+            let left = run_blocking(move || folder::leave(&path, id));
             if tokio::time::timeout(LEAVES, left).await.is_err() {
                 tracing::warn!("still in the hand-over file: the folder is slow");
             }
@@ -102,7 +102,7 @@
     /// the folder is asked first; it may be slow.
     async fn begin(&self, told: Time) {
         if let Some((path, id)) = self.hand_over.clone() {
-            let mut asked = Box::pin(off_thread(move || folder::is_followed(&path, id)));
+            let mut asked = Box::pin(run_blocking(move || folder::is_followed(&path, id)));
             match tokio::time::timeout(FOLLOWED, &mut asked).await {
                 Ok(followed) => {
                     if followed == Some(true) {
--- a/src/wire/nbd/guard.rs
+++ b/src/wire/nbd/guard.rs
@@ -10,7 +10,7 @@
 use crate::state::interceptor::Interceptor;
 use crate::state::planner::{Answer, AnswerSender, ClientRequest, Input, ListedNode, OpenByShard};
 use crate::state::scrub::{self, Found, Scrub, Sight};
-use crate::wire::session::Numbers;
+use crate::wire::session::RequestIds;
 use bytes::{Bytes, BytesMut};
 use std::collections::BTreeMap;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
@@ -40,7 +40,7 @@
 pub struct Guard {
     keeper: Keeper,
     exports: Exports,
-    numbers: Numbers,
+    numbers: RequestIds,
     back: AnswerSender<Vec<Part>>,
     answers: UnboundedReceiver<(RequestId, Answer<Vec<Part>>)>,
     held: BTreeMap<RequestId, Held>,
@@ -63,7 +63,7 @@
 
 impl Guard {
     /// A guard for these exports that keeps so many pages of sums; nodes are warm after `cold`.
-    pub fn new(exports: Exports, numbers: Numbers, most_pages: usize, cold: Time) -> Self {
+    pub fn new(exports: Exports, numbers: RequestIds, most_pages: usize, cold: Time) -> Self {
         let (back, answers) = unbounded_channel();
         Guard {
             keeper: Keeper::new(most_pages),
--- a/src/wire/nbd/server.rs
+++ b/src/wire/nbd/server.rs
@@ -5,7 +5,7 @@
 use crate::state::integrity::{Facts, BLOCK};
 use crate::state::planner::Answer;
 use crate::wire::outbox::Outbox;
-use crate::wire::session::{Numbers, Session};
+use crate::wire::session::{RequestIds, Session};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use winnow::binary::length_take;
@@ -124,7 +124,7 @@
 /// A client's session.
 pub struct Client {
     exports: Exports,
-    numbers: Numbers,
+    numbers: RequestIds,
     phase: Phase,
     no_zeroes: bool,
     structured: bool,
@@ -140,7 +140,7 @@
 
 impl Client {
     /// A session of a client that has just connected: the server speaks first.
-    pub fn new(exports: Exports, numbers: Numbers) -> Self {
+    pub fn new(exports: Exports, numbers: RequestIds) -> Self {
         let mut greeting = BytesMut::new();
         greeting.put_u64(MAGIC);
         greeting.put_u64(OPTION_MAGIC);
@@ -592,7 +592,7 @@
 impl Session<Nbd> for Client {
     fn receive(&mut self, now: Time, read: &mut BytesMut, asks: &mut Vec<(Arrival, Request)>) {
         // Over the limit the rest waits in the buffer; `answer` makes room and the driver asks again.
-        while !self.full() {
+        while !self.is_full() {
             match self.step(now, read, asks) {
                 Ok(true) => {}
                 Ok(false) => return,
@@ -623,24 +623,24 @@
         &mut self.outbox
     }
 
-    fn owed(&self) -> Vec<RequestId> {
+    fn unanswered(&self) -> Vec<RequestId> {
         self.owed.keys().copied().collect()
     }
 
-    fn full(&self) -> bool {
+    fn is_full(&self) -> bool {
         self.owed.len() >= MOST_OWED || self.owed_bytes >= MOST_OWED_BYTES
     }
 
-    fn ending(&self) -> bool {
+    fn is_ending(&self) -> bool {
         matches!(self.phase, Phase::Over)
     }
 
     /// A block device does not survive its connection, so only clients that still shake hands give way.
-    fn gives_way(&self) -> bool {
+    fn is_evictable(&self) -> bool {
         !matches!(self.phase, Phase::Transmission(_))
     }
 
-    fn hurry(&mut self) {
+    fn reject_unfinished_command(&mut self) {
         self.phase = Phase::Over;
     }
 
--- a/src/wire/resp.rs
+++ b/src/wire/resp.rs
@@ -210,30 +210,30 @@
 /// What a command brings.
 #[derive(Debug, Clone)]
 enum Body {
-    Whole(Bytes),
+    Buffered(Bytes),
     /// So many bytes, which come while they are sent on.
-    Long(PipeReader, usize),
+    Streamed(PipeReader, usize),
 }
 
 /// What a node has served.
 #[derive(Debug)]
 pub enum Reply {
     /// A value.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// One of so many bytes that is passed on while it comes.
-    Long(PipeReader, usize),
+    Streamed(PipeReader, usize),
 }
 
 impl<T: Into<Bytes>> From<T> for Reply {
     fn from(value: T) -> Self {
-        Reply::Whole(value.into())
+        Reply::Buffered(value.into())
     }
 }
 
 impl PartialEq for Reply {
     /// Two that are still on their way are never known to be the same.
     fn eq(&self, other: &Self) -> bool {
-        matches!((self, other), (Reply::Whole(a), Reply::Whole(b)) if a == b)
+        matches!((self, other), (Reply::Buffered(a), Reply::Buffered(b)) if a == b)
     }
 }
 
@@ -242,7 +242,7 @@
     /// long one it is not known how long its answer is waited for: that counts from its last byte.
     fn write(self, left: Time, out: &mut Outbox) -> Option<PipeReader> {
         let mut left_ms = (left / 1000).max(1);
-        if matches!(self.body, Some(Body::Long(..))) {
+        if matches!(self.body, Some(Body::Streamed(..))) {
             // How long its body will take is not known; its client waits no longer than it said from the last byte on.
             let own = number::<Time>(&self.fields[self.deadline.clone()]).unwrap_or(left_ms);
             left_ms = left_ms.min(own);
@@ -263,12 +263,12 @@
         head.extend_from_slice(b"\r\n");
         match self.body {
             None => out.push(head),
-            Some(Body::Long(taker, length)) => {
+            Some(Body::Streamed(taker, length)) => {
                 head.extend_from_slice(format!("${length}\r\n").as_bytes());
                 out.push(head);
                 return Some(taker);
             }
-            Some(Body::Whole(body)) => {
+            Some(Body::Buffered(body)) => {
                 head.extend_from_slice(format!("${}\r\n", body.len()).as_bytes());
                 out.push(head);
                 out.push(body);
@@ -290,11 +290,11 @@
     const SHARING: Sharing = Sharing::Exclusive;
 
     fn streams_body(request: &Command) -> bool {
-        matches!(request.body, Some(Body::Long(..)))
+        matches!(request.body, Some(Body::Streamed(..)))
     }
 
     fn is_body_consumed(request: &Command) -> bool {
-        matches!(&request.body, Some(Body::Long(taker, _)) if taker.is_consumed())
+        matches!(&request.body, Some(Body::Streamed(taker, _)) if taker.is_consumed())
     }
 }
 
--- a/src/wire/resp/client.rs
+++ b/src/wire/resp/client.rs
@@ -61,7 +61,7 @@
             let util = texts.next().flatten().and_then(|text| busy(&text));
             // A null value is nothing to serve a client with, but the node ran the request.
             let ending = if value.is_some() { Ending::Served } else { Ending::Error };
-            Ok(AttemptEnd { ending, reply: value.map(Reply::Whole), volume_use, served_elsewhere, util })
+            Ok(AttemptEnd { ending, reply: value.map(Reply::Buffered), volume_use, served_elsewhere, util })
         }
         Value::Error(text) => {
             let busy = text.strip_prefix(b"BUSY").is_some_and(|rest| rest.first().is_none_or(|b| *b == b' '));
@@ -135,7 +135,7 @@
                 }
                 let (giver, taker) = pipe(&self.budget, MOST_VALUE);
                 self.passing = Some(Passing { giver, left, items: items - 1 });
-                let reply = Some(Reply::Long(taker, left));
+                let reply = Some(Reply::Streamed(taker, left));
                 self.flow =
                     Some(Flow::Begun(tag, AttemptEnd { reply, ..AttemptEnd::without_reply(Ending::Served) }));
                 return Ok(());
--- a/src/wire/resp/server.rs
+++ b/src/wire/resp/server.rs
@@ -8,7 +8,7 @@
 use crate::state::planner::Answer;
 use crate::state::stable_index::Indexed;
 use crate::wire::link::{either, Stir};
-use crate::wire::session::{Numbers, Session};
+use crate::wire::session::{RequestIds, Session};
 use std::cell::RefCell;
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -36,7 +36,7 @@
 
 /// What requests of a class may say.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ClassTerms {
+pub struct ClassSchema {
     /// Its name.
     pub name: String,
     /// How long its clients wait in all.
@@ -49,9 +49,9 @@
 
 /// What requests may say, by the settings. Whatever else they say is no use to any node.
 #[derive(Debug, Default)]
-pub struct Terms {
+pub struct RequestSchema {
     /// The classes with their places at the scheduler.
-    pub classes: Vec<Rc<Indexed<ClassTerms>>>,
+    pub classes: Vec<Rc<Indexed<ClassSchema>>>,
     /// Names of the plans, with theirs.
     pub plans: Vec<(String, usize)>,
     /// Most units of a request.
@@ -60,20 +60,20 @@
     pub shards: Option<u32>,
 }
 
-impl Terms {
+impl RequestSchema {
     /// How long a request may wait to be taken: half of the shortest deadline, since one that is refused by then has time to go
     /// elsewhere.
-    pub fn patience(&self) -> Time {
+    pub fn accept_timeout(&self) -> Time {
         self.classes.iter().map(|class| class.value.deadline / 2).min().unwrap_or(Time::MAX)
     }
 }
 
 /// What the sessions of a front share.
-pub struct Common {
+pub struct SharedState {
     /// What requests may say; replaced as a whole.
-    pub terms: RefCell<Rc<Terms>>,
-    /// Numbers for requests.
-    pub numbers: Numbers,
+    pub schema: RefCell<Rc<RequestSchema>>,
+    /// RequestIds for requests.
+    pub request_ids: RequestIds,
     /// Room for what is open.
     pub budget: BufferBudget,
     /// The broker's phase.
@@ -82,18 +82,18 @@
     open: RefCell<BTreeSet<Box<[u8]>>>,
 }
 
-impl Common {
+impl SharedState {
     /// For sessions of which none has begun.
-    pub fn new(terms: Terms, budget: BufferBudget, phase: watch::Receiver<Phase>) -> Self {
-        let terms = RefCell::new(Rc::new(terms));
-        Common { terms, numbers: Numbers::default(), budget, phase, open: RefCell::default() }
+    pub fn new(schema: RequestSchema, budget: BufferBudget, phase: watch::Receiver<Phase>) -> Self {
+        let schema = RefCell::new(Rc::new(schema));
+        SharedState { schema, request_ids: RequestIds::default(), budget, phase, open: RefCell::default() }
     }
 }
 
 /// A request that is still to be answered.
 struct Owed {
     /// Its class as it was taken, whose place is not given away as long.
-    _class: Rc<Indexed<ClassTerms>>,
+    _class: Rc<Indexed<ClassSchema>>,
     number: RequestId,
     id: Box<[u8]>,
     /// Bytes of its body.
@@ -167,7 +167,7 @@
 
 /// A client's session.
 pub struct Client {
-    common: Rc<Common>,
+    common: Rc<SharedState>,
     slots: VecDeque<Slot>,
     held: usize,
     /// Room for the values that are not written yet.
@@ -183,13 +183,13 @@
 }
 
 /// What the scheduler is told of a request, where its deadline stands, and its class.
-type Taken = (Arrival, Range<usize>, Rc<Indexed<ClassTerms>>);
+type Taken = (Arrival, Range<usize>, Rc<Indexed<ClassSchema>>);
 /// The error line for a command.
 type Wrong = &'static [u8];
 
 impl Client {
     /// A session of a client that has just connected.
-    pub fn new(common: Rc<Common>) -> Self {
+    pub fn new(common: Rc<SharedState>) -> Self {
         let (values, untaken) = (common.budget.empty_reservation(), common.budget.empty_reservation());
         Client {
             common,
@@ -248,11 +248,11 @@
         let (piece, id, list) = (next(), next(), next());
         // Of a long body, what its window may hold.
         let (body, held) = match long {
-            Some((taker, length)) => (Some(Body::Long(taker, length)), WINDOW),
+            Some((taker, length)) => (Some(Body::Streamed(taker, length)), WINDOW),
             None => {
                 let body = put.then(next);
                 let held = body.as_ref().map_or(0, Bytes::len);
-                (body.map(Body::Whole), held)
+                (body.map(Body::Buffered), held)
             }
         };
         if !is_hex(&piece) {
@@ -280,7 +280,7 @@
 
     /// What the list of a request says, all but its key, and where its deadline stands.
     fn arrival(&self, now: Time, list: &Bytes, put: bool) -> Result<Taken, Wrong> {
-        let terms = self.common.terms.borrow().clone();
+        let terms = self.common.schema.borrow().clone();
         let pairs = fields(list).ok_or(&b"-ERR malformed fields\r\n"[..])?;
         let twice = |(i, (name, _)): (usize, &(&[u8], &[u8]))| pairs[..i].iter().any(|(n, _)| n == name);
         if pairs.iter().enumerate().any(twice) {
@@ -314,7 +314,7 @@
         };
         let hosts = find(b"hosts").and_then(whole).filter(|h| *h > 0);
         let arrival = Arrival {
-            id: self.common.numbers.next(),
+            id: self.common.request_ids.next(),
             class: class.index,
             plan: plan.1,
             key: None,
@@ -467,7 +467,7 @@
 impl Session<Resp> for Client {
     fn receive(&mut self, now: Time, read: &mut BytesMut, asks: &mut Vec<(Arrival, Command)>) {
         // Over the limit the rest waits in the buffer; `answer` makes room and the driver asks again.
-        while !self.ending && !self.full() {
+        while !self.ending && !self.is_full() {
             if self.upload.is_some() {
                 match self.body(now, read) {
                     true => continue,
@@ -498,21 +498,23 @@
         let stands_alone = place + 1 == self.slots.len();
         let mut long = None;
         let parts = match answer {
-            Answer::Served(Reply::Long(taker, length))
+            Answer::Served(Reply::Streamed(taker, length))
                 if !stands_alone && self.values.resize(self.values.bytes() + length) =>
             {
                 long = Some(Slot::Gathered(Gathered { taker, length, parts: Vec::new() }));
                 Vec::new()
             }
-            Answer::Served(Reply::Long(taker, length)) => {
+            Answer::Served(Reply::Streamed(taker, length)) => {
                 long = Some(Slot::Long(taker));
                 vec![value_head(length)]
             }
             // The client leaves more unread than there is room for.
-            Answer::Served(Reply::Whole(value)) if !self.values.resize(self.values.bytes() + value.len()) => {
+            Answer::Served(Reply::Buffered(value))
+                if !self.values.resize(self.values.bytes() + value.len()) =>
+            {
                 vec![Bytes::from_static(FAILED)]
             }
-            Answer::Served(Reply::Whole(value)) => {
+            Answer::Served(Reply::Buffered(value)) => {
                 vec![value_head(value.len()), value, Bytes::from_static(b"\r\n")]
             }
             Answer::Refused(after) if after > 0 => vec![format!("-BUSY {}\r\n", (after + 999) / 1000).into()],
@@ -545,16 +547,16 @@
         }
     }
 
-    fn owed(&self) -> Vec<RequestId> {
+    fn unanswered(&self) -> Vec<RequestId> {
         let owed = |slot: &Slot| if let Slot::Owed(owed) = slot { Some(owed.number) } else { None };
         self.slots.iter().filter_map(owed).collect()
     }
 
-    fn fill(&mut self) {
+    fn fill_outbox(&mut self) {
         self.flush();
     }
 
-    fn stirred(&self) -> Option<Stir> {
+    fn wakeup(&self) -> Option<Stir> {
         let put = match self.slots.front() {
             Some(Slot::Long(taker)) if self.outbox.len() < MOST_AHEAD => Some(taker.wait_for_bytes()),
             Some(Slot::Gathered(gathered)) => Some(gathered.taker.wait_for_bytes()),
@@ -564,23 +566,23 @@
         either(put, taken)
     }
 
-    fn passes(&self) -> bool {
+    fn is_streaming(&self) -> bool {
         self.slots.iter().any(|slot| matches!(slot, Slot::Long(_) | Slot::Gathered(_)))
     }
 
-    fn is_broken(&self) -> bool {
+    fn is_stream_broken(&self) -> bool {
         self.broken
     }
 
-    fn whole(&mut self) -> Option<(RequestId, Time)> {
+    fn take_complete_upload(&mut self) -> Option<(RequestId, Time)> {
         self.whole.pop_front()
     }
 
-    fn charge(&mut self, untaken: usize) -> bool {
+    fn charge_unparsed(&mut self, untaken: usize) -> bool {
         self.untaken.resize(untaken)
     }
 
-    fn full(&self) -> bool {
+    fn is_full(&self) -> bool {
         if let Some(upload) = &self.upload {
             return upload.giver.as_ref().is_some_and(|g| !g.is_abandoned() && g.space() == 0);
         }
@@ -589,17 +591,17 @@
         passes || self.slots.len() >= MOST_SLOTS || self.held >= MOST_HELD
     }
 
-    fn ending(&self) -> bool {
+    fn is_ending(&self) -> bool {
         self.ending
     }
 
-    fn turn_away(&mut self) {
+    fn refuse_pending(&mut self) {
         // As many as a client may write before it reads an answer: what it has written is not known.
         (0..MOST_SLOTS).for_each(|_| self.ready(BUSY));
         self.flush();
     }
 
-    fn hurry(&mut self) {
+    fn reject_unfinished_command(&mut self) {
         self.ending = true;
         self.ready(b"-ERR unfinished command\r\n");
         self.flush();
--- a/src/wire/session.rs
+++ b/src/wire/session.rs
@@ -41,11 +41,11 @@
 /// A request that counts from so long before it was read is worth a line in the log.
 const WORTH_A_LINE: Time = 20_000;
 
-/// Numbers for requests, shared by all fronts of a planner.
+/// RequestIds for requests, shared by all fronts of a planner.
 #[derive(Debug, Clone, Default)]
-pub struct Numbers(std::rc::Rc<std::cell::Cell<RequestId>>);
+pub struct RequestIds(std::rc::Rc<std::cell::Cell<RequestId>>);
 
-impl Numbers {
+impl RequestIds {
     /// The next number.
     pub fn next(&self) -> RequestId {
         let id = self.0.get() + 1;
@@ -67,44 +67,44 @@
         self.outbox().wrote(bytes);
     }
     /// Moves on what waits elsewhere to be written.
-    fn fill(&mut self) {}
+    fn fill_outbox(&mut self) {}
     /// Wakes when there is something to move on; nothing, if that is not waited for.
-    fn stirred(&self) -> Option<Stir> {
+    fn wakeup(&self) -> Option<Stir> {
         None
     }
     /// Whether an answer is on its way that is passed on while it comes.
-    fn passes(&self) -> bool {
+    fn is_streaming(&self) -> bool {
         false
     }
     /// Whether the rest of such an answer will never come: the client must see that it is not whole.
-    fn is_broken(&self) -> bool {
+    fn is_stream_broken(&self) -> bool {
         false
     }
     /// A request whose body has come whole after it was handed over, and when its client gives up.
-    fn whole(&mut self) -> Option<(RequestId, Time)> {
+    fn take_complete_upload(&mut self) -> Option<(RequestId, Time)> {
         None
     }
     /// Requests without an answer.
-    fn owed(&self) -> Vec<RequestId>;
+    fn unanswered(&self) -> Vec<RequestId>;
     /// Charges what was read and is not taken, so many bytes of it; false if there is no room for so much.
-    fn charge(&mut self, _untaken: usize) -> bool {
+    fn charge_unparsed(&mut self, _untaken: usize) -> bool {
         false
     }
     /// Whether so much is owed that nothing more should be read for now.
-    fn full(&self) -> bool;
+    fn is_full(&self) -> bool;
     /// Whether nothing more will be taken, by the client's wish or because it broke the protocol.
-    fn ending(&self) -> bool;
+    fn is_ending(&self) -> bool;
     /// Whether the connection may be closed between requests to make room for others.
-    fn gives_way(&self) -> bool {
+    fn is_evictable(&self) -> bool {
         true
     }
     /// A command has been unfinished for too long: says so, where the protocol has words for it, and ends.
-    fn hurry(&mut self);
+    fn reject_unfinished_command(&mut self);
     /// The broker stops: says so, where the protocol has words for it.
     fn stop(&mut self) {}
     /// The connection ends before a command has come: refuses the first ones, where the protocol has words for it, since a client
     /// may have sent several at once that are on their way.
-    fn turn_away(&mut self) {}
+    fn refuse_pending(&mut self) {}
 }
 
 /// What becomes of the requests of a connection.
@@ -137,7 +137,7 @@
 }
 
 /// A connection as its front accepted it.
-pub struct Visit {
+pub struct NewConnection {
     /// Its place.
     pub slot: ClientSlot,
     /// The earliest moment at which what lies on it may have come.
@@ -151,31 +151,31 @@
 pub async fn serve<W: Wire, S: Session<W>>(
     stream: TcpStream,
     mut session: S,
-    site: Site<W>,
-    Visit { slot, arrived, admission }: Visit,
+    context: SessionContext<W>,
+    NewConnection { slot, arrived, admission }: NewConnection,
 ) {
-    let Site { planner, guard, pulse, mut phase } = site;
+    let SessionContext { planner, guard, loop_clock, mut phase } = context;
     let (back, mut answers) = unbounded_channel();
     let mut read = BytesMut::new();
-    let mut activity = Activity::new(pulse.now());
+    let mut activity = Activity::new(loop_clock.now());
     // What was read while nothing was taken.
     let mut untaken = false;
     // Since when nothing was read.
     let mut not_read_since = None;
     let lying = (unread(&stream) == Unread::Bytes).then_some(arrived);
     let seen_open = Cell::new(Time::MIN);
-    let ways = Ways { planner, guard, back, pulse, admission, lying: Cell::new(lying), seen_open };
+    let ways = Ways { planner, guard, back, loop_clock, admission, lying: Cell::new(lying), seen_open };
     let _ = stream.set_nodelay(true);
     let reason = loop {
-        session.fill();
+        session.fill_outbox();
         let waiting = !session.outbox().is_empty();
-        if session.is_broken() && !waiting {
+        if session.is_stream_broken() && !waiting {
             break CloseReason::BrokenValue;
         }
-        let idle = session.owed().is_empty() && !waiting && !session.passes();
-        let gives_way = idle && session.gives_way();
+        let idle = session.unanswered().is_empty() && !waiting && !session.is_streaming();
+        let gives_way = idle && session.is_evictable();
         slot.set_evictable(gives_way.then(|| activity.spare()));
-        let now = ways.pulse.now();
+        let now = ways.loop_clock.now();
         let deadline = activity.deadline(now, gives_way, waiting);
         let is_over = |at: Option<Time>| at.is_some_and(|at| at <= now);
         let over = is_over(deadline);
@@ -189,8 +189,8 @@
         // Half a command is not waited for beyond the last moment at which its answer could be given.
         let ends = stands.last_answer_at().filter(|_| idle);
         let deaf = stands.stops_reading_at().filter(|_| !idle);
-        let listens = deaf.is_none_or(|at| at > now) && !session.ending();
-        let open = listens && !session.full() && session.outbox().len() < MOST_UNREAD;
+        let listens = deaf.is_none_or(|at| at > now) && !session.is_ending();
+        let open = listens && !session.is_full() && session.outbox().len() < MOST_UNREAD;
         if open && std::mem::take(&mut untaken) {
             // What was read is answered, whatever else would be done with the connection now.
             ways.take(&stream, &mut session, &mut activity, &mut read);
@@ -200,7 +200,7 @@
             break CloseReason::NotRead;
         }
         let wanted = (slot.is_close_requested() && batch.is_none()) || is_over(closes) || is_over(ends);
-        if idle && session.ending() {
+        if idle && session.is_ending() {
             break CloseReason::Ended;
         }
         let unfinished = activity.has_partial_command()
@@ -208,7 +208,7 @@
         if unfinished || (idle && (over || wanted)) {
             // The clock may have run while nobody read: what has come is taken first. The runtime is asked to look again.
             let reads = stands.reads_idle_connections(now);
-            if reads && unread(&stream) == Unread::Bytes && !session.ending() {
+            if reads && unread(&stream) == Unread::Bytes && !session.is_ending() {
                 tokio::task::yield_now().await;
                 match stream.try_read_buf(&mut read) {
                     Ok(1..) => {
@@ -221,8 +221,8 @@
             }
             if unfinished {
                 activity.discard_partial_command();
-                if !session.ending() {
-                    session.hurry();
+                if !session.is_ending() {
+                    session.reject_unfinished_command();
                     continue;
                 }
             }
@@ -236,11 +236,13 @@
         }
         let wakes = [deadline, closes, ends, deaf, batch].into_iter().flatten();
         slot.set_deadline(wakes.filter(|at| *at > now).min());
-        let stirred = session.stirred();
+        let stirred = session.wakeup();
         // One that has gone must be seen whatever else it is owed. What will not be answered is not read at all.
         let ahead = if untaken { read.len() } else { 0 };
-        let room = session.charge(ahead.saturating_sub(AHEAD) + if ahead < AHEAD { 0 } else { READ });
-        let reads_ahead = !session.passes() && (read.len() < AHEAD || (room && read.len() < MOST_AHEAD));
+        let room =
+            session.charge_unparsed(ahead.saturating_sub(AHEAD) + if ahead < AHEAD { 0 } else { READ });
+        let reads_ahead =
+            !session.is_streaming() && (read.len() < AHEAD || (room && read.len() < MOST_AHEAD));
         let reads = open || (listens && reads_ahead);
         if !reads {
             not_read_since = not_read_since.or(Some(now));
@@ -258,7 +260,7 @@
                     ways.answer(&mut session, id, answer);
                 }
                 // What was read but held back because too much was owed.
-                if !read.is_empty() && !session.full() {
+                if !read.is_empty() && !session.is_full() {
                     ways.take(&stream, &mut session, &mut activity, &mut read);
                 }
             }
@@ -266,7 +268,7 @@
                 match ready.and_then(|()| stream.try_write_vectored(&session.outbox().slices())) {
                     Ok(n) => {
                         session.wrote(n);
-                        activity.wrote(ways.pulse.now());
+                        activity.wrote(ways.loop_clock.now());
                     }
                     Err(e) if is_short_of_memory(&e) => tokio::time::sleep(REST).await,
                     Err(e) if passes(&e) => {}
@@ -292,7 +294,7 @@
                     true => ways.take(&stream, &mut session, &mut activity, &mut read),
                     false => {
                         untaken = true;
-                        ways.lies_since(ways.pulse.came());
+                        ways.lies_since(ways.loop_clock.came());
                     }
                 }
             }
@@ -308,7 +310,7 @@
             }
             () = stir(stirred) => {
                 // There may be room again for what was read.
-                if !read.is_empty() && !session.full() {
+                if !read.is_empty() && !session.is_full() {
                     ways.take(&stream, &mut session, &mut activity, &mut read);
                 }
             }
@@ -318,7 +320,7 @@
     ways.end(&session, &activity, reason, *phase.borrow());
     let refuses = !activity.is_used() || admission == Admission::Refused;
     if refuses && reason.is_broker_initiated() {
-        session.turn_away();
+        session.refuse_pending();
         write_last(&stream, &mut session).await;
     }
     if lingers(reason, activity.is_used(), admission) {
@@ -360,21 +362,21 @@
 }
 
 /// What all sessions of a front share.
-pub struct Site<W: Wire> {
+pub struct SessionContext<W: Wire> {
     /// Where their requests go.
     pub planner: UnboundedSender<Input<W>>,
     /// Whom they ask before they take, answer or close.
     pub guard: Guard,
     /// The time, and how late this process runs.
-    pub pulse: Pulse,
+    pub loop_clock: Pulse,
     /// The broker's phase.
     pub phase: watch::Receiver<Phase>,
 }
 
-impl<W: Wire> Clone for Site<W> {
+impl<W: Wire> Clone for SessionContext<W> {
     fn clone(&self) -> Self {
         let (planner, guard) = (self.planner.clone(), self.guard.clone());
-        Site { planner, guard, pulse: self.pulse.clone(), phase: self.phase.clone() }
+        SessionContext { planner, guard, loop_clock: self.loop_clock.clone(), phase: self.phase.clone() }
     }
 }
 
@@ -383,7 +385,7 @@
     planner: UnboundedSender<Input<W>>,
     guard: Guard,
     back: AnswerSender<W::Reply>,
-    pulse: Pulse,
+    loop_clock: Pulse,
     admission: Admission,
     /// Since when what is taken next may have waited, in the socket or in what was read ahead; nothing if it has just come.
     lying: Cell<Option<Time>>,
@@ -394,24 +396,24 @@
 impl<W: Wire> Ways<W> {
     /// Gives a request its answer.
     fn answer<S: Session<W>>(&self, session: &mut S, id: RequestId, answer: Answer<W::Reply>) {
-        self.guard.answer(id, self.pulse.now());
+        self.guard.answer(id, self.loop_clock.now());
         session.answer(id, answer);
     }
 
     /// A connection ends: what it owes is nobody's any more.
     fn end<S: Session<W>>(&self, session: &S, activity: &Activity, reason: CloseReason, phase: Phase) {
-        let owed = session.owed();
+        let owed = session.unanswered();
         // The client may have closed it at the beginning of a stall, but not before it was last seen open.
-        let closed = self.pulse.came().max(self.seen_open.get());
+        let closed = self.loop_clock.came().max(self.seen_open.get());
         self.guard.close(&owed, closed, reason);
         match reason {
             CloseReason::NotRead | CloseReason::BrokenValue if !owed.is_empty() => {
                 tracing::warn!(?reason, ?owed, "client closed under what it is owed");
             }
             _ => {
-                let now = self.pulse.now();
+                let now = self.loop_clock.now();
                 let (open_us, since_us, stalled_us) =
-                    (now - activity.accepted(), now - closed, now - self.pulse.came());
+                    (now - activity.accepted(), now - closed, now - self.loop_clock.came());
                 tracing::debug!(
                     ?reason,
                     ?owed,
@@ -432,7 +434,7 @@
     /// A read of the client's connection has found neither bytes nor its end, if that is what the error says.
     fn found_nothing(&self, error: &std::io::Error) {
         if error.kind() == ErrorKind::WouldBlock {
-            self.seen_open.set(self.pulse.now());
+            self.seen_open.set(self.loop_clock.now());
         }
     }
 
@@ -458,33 +460,33 @@
         read: &mut BytesMut,
     ) {
         let (before, mut asks) = (read.len(), Vec::new());
-        let came = self.pulse.came();
+        let came = self.loop_clock.came();
         let lying = self.lying.get();
         let arrived = lying.map_or(came, |since| since.min(came));
         session.receive(arrived, read, &mut asks);
-        let waited_us = self.pulse.now() - arrived;
+        let waited_us = self.loop_clock.now() - arrived;
         if waited_us > WORTH_A_LINE && !asks.is_empty() {
             tracing::debug!(waited_us, lying = lying.is_some(), requests = asks.len(), "counts from before");
         }
         let rests = |lying: Option<Time>| {
-            lying.is_some() && ((session.full() && !read.is_empty()) || unread(stream) == Unread::Bytes)
+            lying.is_some() && ((session.is_full() && !read.is_empty()) || unread(stream) == Unread::Bytes)
         };
         self.lying.set(lying.filter(|_| rests(lying)));
-        activity.read(self.pulse.now(), before, read.len(), asks.len());
+        activity.read(self.loop_clock.now(), before, read.len(), asks.len());
         if read.is_empty() {
             // A client that is idle must not pin the buffer of its last command.
             *read = BytesMut::new();
         }
         for (mut arrival, request) in asks {
-            arrival.due = self.admission.due(arrival.due, self.pulse.now());
+            arrival.due = self.admission.due(arrival.due, self.loop_clock.now());
             // The time of one whose body is still coming is not known yet.
             let due = if W::streams_body(&request) { Time::MAX } else { arrival.due };
             self.guard.take(arrival.id, due);
             let ask = ClientRequest { arrival, request, back: self.back.clone(), of_client: true };
             let _ = self.planner.send(Input::Request(ask));
         }
-        while let Some((id, due)) = session.whole() {
-            let due = self.admission.due(due, self.pulse.now());
+        while let Some((id, due)) = session.take_complete_upload() {
+            let due = self.admission.due(due, self.loop_clock.now());
             self.guard.retime(id, due);
             let _ = self.planner.send(Input::BodyComplete(id, due));
         }
--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -13,7 +13,7 @@
 use claywinch::wire::nbd::guard::Guard;
 use claywinch::wire::nbd::server::{Catalogue, Export, Exports, Kind};
 use claywinch::wire::nbd::{Nbd, Operation, Part, Request, SUMS};
-use claywinch::wire::session::Numbers;
+use claywinch::wire::session::RequestIds;
 use std::rc::Rc;
 use tokio::sync::mpsc::unbounded_channel;
 
@@ -202,7 +202,7 @@
 #[test]
 fn checking_copies_no_data_and_costs_a_read_few_allocations() {
     let _profiler = dhat::Profiler::builder().testing().build();
-    let guard = |summed| Guard::new(exports(summed), Numbers::default(), 256, 0);
+    let guard = |summed| Guard::new(exports(summed), RequestIds::default(), 256, 0);
     let (mut plain, mut through, mut checked) =
         (Broker::new(PassThrough), Broker::new(guard(false)), Broker::new(guard(true)));
     println!("request           unchecked         with the stage    checked       (allocations, attempts)");
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -15,9 +15,9 @@
 use claywinch::wire::nbd::teller::{Teller, TellerError};
 use claywinch::wire::nbd::{client::Node as NbdNode, Operation, Part, Request};
 use claywinch::wire::resp::client::Node;
-use claywinch::wire::resp::server::{ClassTerms, Client, Common, Terms};
+use claywinch::wire::resp::server::{ClassSchema, Client, RequestSchema, SharedState};
 use claywinch::wire::resp::Reply;
-use claywinch::wire::session::{Numbers, Session};
+use claywinch::wire::session::{RequestIds, Session};
 use claywinch::wire::{discovery, resp};
 use common::parse::check;
 use std::rc::Rc;
@@ -46,18 +46,18 @@
 }
 
 /// What RESP2 sessions share, with room for so many bytes.
-fn resp_common(room: usize) -> Rc<Common> {
+fn resp_common(room: usize) -> Rc<SharedState> {
     let class = |(place, (name, writes)): (usize, (&str, Option<bool>))| {
         let class = common::settings().classes.remove(0);
         Rc::new(Indexed {
             index: place,
-            value: ClassTerms { name: name.into(), deadline: 500_000, writes, class },
+            value: ClassSchema { name: name.into(), deadline: 500_000, writes, class },
         })
     };
     let classes = [("read", Some(false)), ("write", Some(true)), ("both", None)];
     let classes = classes.into_iter().enumerate().map(class).collect();
-    let terms = Terms { classes, plans: vec![("gold".into(), 0)], most_units: 6, shards: Some(9) };
-    Rc::new(Common::new(terms, BufferBudget::new(room), tokio::sync::watch::channel(Phase::Serving).1))
+    let terms = RequestSchema { classes, plans: vec![("gold".into(), 0)], most_units: 6, shards: Some(9) };
+    Rc::new(SharedState::new(terms, BufferBudget::new(room), tokio::sync::watch::channel(Phase::Serving).1))
 }
 
 fn resp_client() -> Client {
@@ -116,7 +116,7 @@
     let text = format!("{first}{second}*1\r\n$4\r\nPING\r\n*1\r\n$5\r\nHELLO\r\n{bad}*0\r\nnonsense");
     client.receive(0, &mut BytesMut::from(text.as_bytes()), &mut asks);
     let ids: Vec<u64> = asks.iter().map(|(a, _)| a.id).collect();
-    assert_eq!((ids.len(), client.owed(), client.ending()), (2, ids.clone(), true));
+    assert_eq!((ids.len(), client.unanswered(), client.is_ending()), (2, ids.clone(), true));
     client.answer(ids[1], Answer::Refused(1_500));
     assert!(written(client.outbox()).is_empty(), "the first is not answered yet");
     client.answer(ids[0], Answer::Served("v".into()));
@@ -341,11 +341,11 @@
 
 /// A session as the shared helper wants it: what it makes of what was read.
 fn session_of(exports: Exports) -> impl FnMut(&mut BytesMut) -> Vec<(u64, Request)> {
-    let mut session = NbdClient::new(exports, Numbers::default());
+    let mut session = NbdClient::new(exports, RequestIds::default());
     move |read: &mut BytesMut| {
         let mut asks = Vec::new();
         session.receive(0, read, &mut asks);
-        if session.ending() {
+        if session.is_ending() {
             read.clear();
         }
         asks.into_iter().map(|(a, r)| (a.id, r)).collect()
@@ -393,7 +393,7 @@
     let hello = [vec![0, 0, 0, 3], option(8, b"")].concat();
     let both = ["claywinch:crc32c", "claywinch:state"];
     let replies = |exports: Exports, text: &[u8]| {
-        let mut session = NbdClient::new(exports, Numbers::default());
+        let mut session = NbdClient::new(exports, RequestIds::default());
         session.receive(0, &mut BytesMut::from(text), &mut Vec::new());
         option_replies(&written(session.outbox()))
     };
@@ -427,7 +427,7 @@
 #[test]
 fn what_is_said_of_blocks_is_a_chunk_for_each_context() {
     let ask = |queries: &[&str], answer: Vec<State>| {
-        let mut session = NbdClient::new(summed_exports(), Numbers::default());
+        let mut session = NbdClient::new(summed_exports(), RequestIds::default());
         let text = [
             vec![0, 0, 0, 3],
             option(8, b""),
@@ -492,7 +492,7 @@
 
 #[test]
 fn what_an_nbd_client_gets_wrong_is_answered_by_the_spec() {
-    let mut session = NbdClient::new(exports(), Numbers::default());
+    let mut session = NbdClient::new(exports(), RequestIds::default());
     let mut asks = Vec::new();
     written(session.outbox());
     let long = option(7, &vec![0; 9000]);
@@ -530,15 +530,15 @@
     let endless =
         [&[0, 0, 0, 3][..], b"IHAVEOPT", &7_u32.to_be_bytes(), &3_000_000_000_u32.to_be_bytes()].concat();
     for bad in [vec![255; 4], [vec![0, 0, 0, 3], vec![9; 16]].concat(), huge, endless] {
-        let mut session = NbdClient::new(exports(), Numbers::default());
+        let mut session = NbdClient::new(exports(), RequestIds::default());
         session.receive(0, &mut BytesMut::from(&bad[..]), &mut asks);
-        assert!(session.ending() && session.owed().is_empty(), "{bad:?}");
+        assert!(session.is_ending() && session.unanswered().is_empty(), "{bad:?}");
     }
 }
 
 #[test]
 fn the_final_answers_of_an_nbd_session_follow_the_table() {
-    let mut session = NbdClient::new(exports(), Numbers::default());
+    let mut session = NbdClient::new(exports(), RequestIds::default());
     let mut asks = Vec::new();
     let text = [handshake(), request(0, 0, 4, b"").repeat(3)].concat();
     session.receive(0, &mut BytesMut::from(&text[..]), &mut asks);
@@ -554,7 +554,7 @@
         .map(|w| (common::net::be::<2>(w, 4), common::net::be::<2>(w, 6)))
         .collect();
     assert_eq!(kinds, [(1, 0x8001), (1, 0x8001), (0, 1), (1, 2)], "one last chunk for each");
-    assert!(said.windows(8).any(|w| w == b"BUSY 250") && session.owed().is_empty());
+    assert!(said.windows(8).any(|w| w == b"BUSY 250") && session.unanswered().is_empty());
 }
 
 /// What an NBD node says up to the transmission phase, and then to a read of ten bytes at 0.
@@ -672,7 +672,7 @@
 /// Guards the paths of clients and nodes that know neither GO nor structured replies.
 #[test]
 fn old_clients_and_nodes_speak_simple_replies() {
-    let mut session = NbdClient::new(exports(), Numbers::default());
+    let mut session = NbdClient::new(exports(), RequestIds::default());
     let mut asks = Vec::new();
     written(session.outbox());
     let text =
@@ -727,10 +727,10 @@
     let (mut client, mut asks) = (resp_client(), Vec::new());
     let mut read = BytesMut::from(puts.as_bytes());
     client.receive(0, &mut read, &mut asks);
-    assert_eq!((asks.len(), client.full()), (16, true));
+    assert_eq!((asks.len(), client.is_full()), (16, true));
     client.answer(asks[3].0.id, Answer::Failed);
     client.receive(0, &mut read, &mut asks);
-    assert_eq!((asks.len(), client.owed().len()), (17, 16));
+    assert_eq!((asks.len(), client.unanswered().len()), (17, 16));
 }
 
 /// Guards the nodes and the scheduler: what no node can use is told so, and nothing of it is kept.
@@ -768,7 +768,7 @@
         assert!(line.starts_with("-ERR ") && line.ends_with("\r\n") && taken == 0, "{text} {line}");
         assert_eq!(line.matches("\r\n").count(), 1, "one line: {line}");
     }
-    assert!(!client.ending() && client.owed().is_empty());
+    assert!(!client.is_ending() && client.unanswered().is_empty());
     assert!(common.budget.reserve(1 << 20), "nothing is held");
 }
 
@@ -781,7 +781,7 @@
     assert_eq!(said(&mut one, &text), (String::new(), 1));
     let (line, taken) = said(&mut two, &again);
     assert!(line.starts_with("-ERR ") && taken == 0, "{line}");
-    let number = one.owed()[0];
+    let number = one.unanswered()[0];
     one.answer(number, Answer::Failed);
     assert_eq!(said(&mut two, &again), (String::new(), 1), "answered: it is free");
     drop(two);
@@ -797,7 +797,7 @@
     client.receive(0, &mut BytesMut::from(texts.as_bytes()), &mut asks);
     let taken = asks.len();
     assert!((1..6).contains(&taken), "{taken}");
-    for id in client.owed() {
+    for id in client.unanswered() {
         client.answer(id, Answer::Failed);
     }
     let lines = String::from_utf8(written(client.outbox())).unwrap();
@@ -811,8 +811,8 @@
     for text in ["$", "x", "*17\r\n", "*-3\r\n", "*1000000000\r\n", "*5\r\n$60000000\r\n", "*4\r\n$-7\r\n"] {
         let mut client = resp_client();
         let (line, taken) = said(&mut client, &format!("{}{text}", get("9b", FIELDS)));
-        assert_eq!((line.as_str(), taken, client.ending()), ("", 1, true), "{text}");
-        let number = client.owed()[0];
+        assert_eq!((line.as_str(), taken, client.is_ending()), ("", 1, true), "{text}");
+        let number = client.unanswered()[0];
         client.answer(number, Answer::Served("v".into()));
         let line = String::from_utf8(written(client.outbox())).unwrap();
         assert!(line.starts_with("$1\r\nv\r\n-ERR ") && line.matches("-ERR").count() == 1, "{line}");
@@ -854,13 +854,13 @@
             read.clear();
             at = reply.len();
         }
-        client.fill();
+        client.fill_outbox();
         let held = read.len() + client.outbox().len() as usize;
         assert!(held <= most, "{held}");
         let bytes = client.outbox().slices().iter().flat_map(|s| s.to_vec()).collect::<Vec<u8>>();
         client.wrote(bytes.len());
         told.extend(bytes);
-        client.fill();
+        client.fill_outbox();
     }
     told
 }
@@ -882,7 +882,7 @@
         asked_of(&mut node, &mut client, get(&step.to_string(), FIELDS).as_bytes(), &mut read);
         let told = passed(&mut node, &mut client, &reply, step, 2 * 65_536 + step);
         assert!(told == bulk, "in steps of {step}: {} of {}", told.len(), bulk.len());
-        assert!(!client.passes() && !client.is_broken());
+        assert!(!client.is_streaming() && !client.is_stream_broken());
     }
     // Every cut around its head, one byte at a time, and around its end.
     for steps in [1, 2, 3] {
@@ -904,8 +904,8 @@
         asked_of(&mut node, &mut client, get("1", FIELDS).as_bytes(), &mut BytesMut::new());
         let told = passed(&mut node, &mut client, text, 4_096, 1 << 20);
         drop(node);
-        client.fill();
-        assert!(client.is_broken() && client.ending(), "the rest never comes");
+        client.fill_outbox();
+        assert!(client.is_stream_broken() && client.is_ending(), "the rest never comes");
         assert!(!told.ends_with(b"\r\n") || told.len() < 20, "{}", told.len());
     }
     // One that is longer than any may be is no reply at all.
@@ -928,13 +928,13 @@
         let mut at = head;
         while at < text.len() || !read.is_empty() || !node.outbox().is_empty() {
             assert_eq!(whole, None);
-            if !client.full() && at < text.len() {
+            if !client.is_full() && at < text.len() {
                 let end = (at + step).min(text.len());
                 read.extend_from_slice(&text.as_bytes()[at..end]);
                 at = end;
             }
             client.receive(7_000_000, &mut read, &mut Vec::new());
-            whole = client.whole();
+            whole = client.take_complete_upload();
             assert!(read.len() <= step + 65_536, "{}", read.len());
             node.fill().expect("it goes on");
             sent.extend(written(node.outbox()));
@@ -962,7 +962,11 @@
     let mut client = resp_client();
     let bad = put("1", &FIELDS.replace("read", "none"), &body);
     let (line, asked) = said(&mut client, &(bad + &get("2", FIELDS)));
-    assert_eq!((line.starts_with("-ERR unknown class"), asked, client.ending()), (true, 1, false), "{line}");
+    assert_eq!(
+        (line.starts_with("-ERR unknown class"), asked, client.is_ending()),
+        (true, 1, false),
+        "{line}"
+    );
     // One whose answer is there before its body: the rest is no command.
     let mut client = resp_client();
     let mut read = BytesMut::new();
@@ -971,7 +975,9 @@
     read.extend_from_slice(&text.as_bytes()[50_000..]);
     let mut asks = Vec::new();
     client.receive(0, &mut read, &mut asks);
-    assert!(read.is_empty() && asks.is_empty() && client.whole().is_none() && !client.ending());
+    assert!(
+        read.is_empty() && asks.is_empty() && client.take_complete_upload().is_none() && !client.is_ending()
+    );
     assert_eq!(said(&mut client, &get("3", FIELDS)), ("-BUSY\r\n".to_string(), 1));
 }
 
@@ -982,7 +988,7 @@
     let mut client = Client::new(resp_common(150_000));
     let texts: String = (0..3).map(|id| get(&id.to_string(), FIELDS)).collect();
     client.receive(0, &mut BytesMut::from(texts.as_bytes()), &mut Vec::new());
-    for id in client.owed() {
+    for id in client.unanswered() {
         client.answer(id, Answer::Served(value.clone().into()));
     }
     let mut texts = String::new();
@@ -994,7 +1000,7 @@
     let told: Vec<&str> = texts.split("\r\n").filter(|line| line.len() < 20).collect();
     assert_eq!(told, ["$60000", "$60000", "-ERR failed", ""]);
     assert_eq!(said(&mut client, &get("4", FIELDS)).1, 1);
-    let number = client.owed()[0];
+    let number = client.unanswered()[0];
     client.answer(number, Answer::Served(value.into()));
     assert!(client.outbox().len() > 60_000, "what was written has given back its room");
 }
@@ -1002,12 +1008,12 @@
 /// Everything that a session wants written, taken as written.
 fn said_next(client: &mut Client) -> String {
     let mut text = String::new();
-    client.fill();
+    client.fill_outbox();
     while !client.outbox().is_empty() {
         let bytes = client.outbox().slices().iter().flat_map(|s| s.to_vec()).collect::<Vec<u8>>();
         client.wrote(bytes.len());
         text += std::str::from_utf8(&bytes).expect("text");
-        client.fill();
+        client.fill_outbox();
     }
     text
 }
@@ -1018,9 +1024,9 @@
         let mut client = resp_client();
         let texts: String = (0..2).map(|id| get(&id.to_string(), FIELDS)).collect();
         client.receive(0, &mut BytesMut::from(texts.as_bytes()), &mut Vec::new());
-        let (first, second) = (client.owed()[0], client.owed()[1]);
+        let (first, second) = (client.unanswered()[0], client.unanswered()[1]);
         let (giver, taker) = pipe(&BufferBudget::new(1 << 20), 1 << 20);
-        client.answer(first, Answer::Served(Reply::Long(taker, 6)));
+        client.answer(first, Answer::Served(Reply::Streamed(taker, 6)));
         client.answer(second, Answer::Served(Bytes::from("value").into()));
         giver.put(Bytes::from("abc"));
         assert_eq!(said_next(&mut client), "", "it is gathered first");
@@ -1032,7 +1038,7 @@
             giver.finish();
             assert_eq!(said_next(&mut client), "$6\r\nabcdef\r\n$5\r\nvalue\r\n");
         }
-        assert!(!client.is_broken() && !client.passes() && !client.ending());
+        assert!(!client.is_stream_broken() && !client.is_streaming() && !client.is_ending());
     }
 }
 
@@ -1041,16 +1047,16 @@
     let mut client = resp_client();
     client.receive(0, &mut BytesMut::from(get("1", FIELDS).as_bytes()), &mut Vec::new());
     let (giver, taker) = pipe(&BufferBudget::new(1 << 20), 1 << 20);
-    client.answer(client.owed()[0], Answer::Served(Reply::Long(taker, 6)));
+    client.answer(client.unanswered()[0], Answer::Served(Reply::Streamed(taker, 6)));
     giver.put(Bytes::from("abc"));
     assert_eq!(said_next(&mut client), "$6\r\nabc", "nothing stands behind it: it goes at once");
     let mut read = BytesMut::from(get("2", FIELDS).as_bytes());
     let mut asks = Vec::new();
     client.receive(0, &mut read, &mut asks);
-    assert!(client.full() && asks.is_empty() && !read.is_empty());
+    assert!(client.is_full() && asks.is_empty() && !read.is_empty());
     giver.put(Bytes::from("def"));
     giver.finish();
     assert_eq!(said_next(&mut client), "def\r\n");
     client.receive(0, &mut read, &mut asks);
-    assert_eq!((asks.len(), client.full()), (1, false));
+    assert_eq!((asks.len(), client.is_full()), (1, false));
 }
