--- a/src/wire/session.rs
+++ b/src/wire/session.rs
@@ -1,5 +1,5 @@
-//! A client's connection: the driver of one session, whatever is spoken on it. It parses, hands over and
-//! writes; where and when anything is done is the planner's.
+//! Drives one client connection, independent of the protocol spoken on it. The driver reads and parses commands, passes
+//! requests to the planner and writes answers; the planner decides where and when a request is sent.
 
 use super::link::{stir, Stir};
 use super::outbox::Outbox;
@@ -21,32 +21,32 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 use tokio::sync::watch;
 
-/// Room for a read.
-const READ: usize = 8 * 1024;
-/// While nothing more is taken of a client, so much of what it sends is read all the same: behind it may stand its end.
-const AHEAD: usize = 16 * 1024;
-/// The same where there is room for it.
-const MOST_AHEAD: usize = 1 << 20;
-/// How often it is looked whether a client has closed that has sent more than that.
-const LOOK: Duration = Duration::from_millis(40);
-/// How many times it is tried to write the last bytes of a connection.
-const LAST_TRIES: usize = 12;
-/// Answers of a client that does not read them wait up to this many bytes; then nothing more is taken.
-const MOST_UNREAD: u64 = 64 * 1024;
-/// How long a closing connection is kept for its client to close, so that the answers before its end are not lost to a
-/// reset.
+/// Buffer space reserved for one read, in bytes.
+const READ_CHUNK: usize = 8 * 1024;
+/// Bytes that are read ahead while no further request of a client is accepted: the end of the connection may follow them.
+const READ_AHEAD: usize = 16 * 1024;
+/// Bytes that are read ahead if the buffer budget allows it.
+const MAX_READ_AHEAD: usize = 1 << 20;
+/// How often the driver checks whether a client has closed its connection after sending more than the read-ahead limit.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(40);
+/// Attempts to write the last bytes of a connection.
+const MAX_FINAL_WRITES: usize = 12;
+/// Bytes of answers that may wait for a client that does not read them; beyond this, no further request is accepted.
+const MAX_UNREAD_ANSWERS: u64 = 64 * 1024;
+/// How long a closing connection waits for its client to close, so that a TCP reset does not discard answers that the
+/// client has not read yet.
 const LINGER: Duration = Duration::from_millis(100);
-/// How long the first command may take where it is only refused.
-const REFUSED_PATIENCE: Time = 100_000;
-/// A request that counts from so long before it was read is worth a line in the log.
-const WORTH_A_LINE: Time = 20_000;
+/// How long a connection whose requests are refused may take to send its first command, in microseconds.
+const REFUSED_COMMAND_TIMEOUT: Time = 100_000;
+/// Requests that arrived longer than this before they were read are logged, in microseconds.
+const LOGGED_WAIT: Time = 20_000;
 
-/// RequestIds for requests, shared by all fronts of a planner.
+/// Allocates request ids; shared by all fronts of a planner.
 #[derive(Debug, Clone, Default)]
 pub struct RequestIds(std::rc::Rc<std::cell::Cell<RequestId>>);
 
 impl RequestIds {
-    /// The next number.
+    /// Returns the next unused id.
     pub fn next(&self) -> RequestId {
         let id = self.0.get() + 1;
         self.0.set(id);
@@ -54,80 +54,81 @@
     }
 }
 
-/// The server's side of a protocol, spoken with a client. Sans-I/O.
+/// The server side of a protocol with one client, without I/O.
 pub trait Session<W: Wire>: 'static {
-    /// Takes what was read and consumes what is whole of it; `now` is when it came.
-    fn receive(&mut self, now: Time, read: &mut BytesMut, asks: &mut Vec<(Arrival, W::Request)>);
-    /// Takes the final answer of a request.
+    /// Parses and consumes the complete commands in `read`, and appends their requests. `now` is when the bytes arrived.
+    fn receive(&mut self, now: Time, read: &mut BytesMut, requests: &mut Vec<(Arrival, W::Request)>);
+    /// Accepts the final answer to a request.
     fn answer(&mut self, id: RequestId, answer: Answer<W::Reply>);
-    /// What is to be written.
+    /// Returns the bytes that wait to be written to the client.
     fn outbox(&mut self) -> &mut Outbox;
-    /// So many bytes of it were written.
+    /// Records that `bytes` bytes of the outbox were written.
     fn wrote(&mut self, bytes: usize) {
         self.outbox().wrote(bytes);
     }
-    /// Moves on what waits elsewhere to be written.
+    /// Moves streamed data that has arrived into the outbox.
     fn fill_outbox(&mut self) {}
-    /// Wakes when there is something to move on; nothing, if that is not waited for.
+    /// Returns a future that completes when more streamed data can be moved, or `None` if the session waits for none.
     fn wakeup(&self) -> Option<Stir> {
         None
     }
-    /// Whether an answer is on its way that is passed on while it comes.
+    /// Whether an answer is being streamed to the client while it arrives from the node.
     fn is_streaming(&self) -> bool {
         false
     }
-    /// Whether the rest of such an answer will never come: the client must see that it is not whole.
+    /// Whether a streamed answer broke off. The connection must then be closed, so that the client sees that the answer is
+    /// incomplete.
     fn is_stream_broken(&self) -> bool {
         false
     }
-    /// A request whose body has come whole after it was handed over, and when its client gives up.
+    /// Returns the next request whose streamed body has arrived completely, with the time at which its client gives up.
     fn take_complete_upload(&mut self) -> Option<(RequestId, Time)> {
         None
     }
-    /// Requests without an answer.
+    /// Returns the requests that have no answer yet.
     fn unanswered(&self) -> Vec<RequestId>;
-    /// Charges what was read and is not taken, so many bytes of it; false if there is no room for so much.
-    fn charge_unparsed(&mut self, _untaken: usize) -> bool {
+    /// Charges bytes that were read but not parsed to the buffer budget. Returns false if the budget does not allow it.
+    fn charge_unparsed(&mut self, _unparsed: usize) -> bool {
         false
     }
-    /// Whether so much is owed that nothing more should be read for now.
+    /// Whether the limit of unanswered requests is reached, so that no further request is accepted for now.
     fn is_full(&self) -> bool;
-    /// Whether nothing more will be taken, by the client's wish or because it broke the protocol.
+    /// Whether no further request will be accepted, because the client quit or violated the protocol.
     fn is_ending(&self) -> bool;
-    /// Whether the connection may be closed between requests to make room for others.
+    /// Whether the connection may be closed between requests to free its slot for another client.
     fn is_evictable(&self) -> bool {
         true
     }
-    /// A command has been unfinished for too long: says so, where the protocol has words for it, and ends.
+    /// Ends the session because a command stayed incomplete for too long. Queues an error if the protocol has one.
     fn reject_unfinished_command(&mut self);
-    /// The broker stops: says so, where the protocol has words for it.
+    /// Tells the client that the broker stops, if the protocol has a message for it.
     fn stop(&mut self) {}
-    /// The connection ends before a command has come: refuses the first ones, where the protocol has words for it, since a client
-    /// may have sent several at once that are on their way.
+    /// Refuses commands that have not arrived yet, if the protocol has an answer for it: the connection closes, and a client
+    /// may have sent several commands at once that are still in transit.
     fn refuse_pending(&mut self) {}
 }
 
-/// What becomes of the requests of a connection.
+/// How the requests of a connection are handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// They are served, as far as that can be.
+    /// Requests are passed to the planner.
     Served,
-    /// All places are taken by others: they are refused at once, and the connection ends.
+    /// The connection limit is reached: requests are refused at once, and the connection is closed.
     Refused,
 }
 
 impl Admission {
-    /// When a connection that was last of use at `since` is to be closed between requests. It has had an `answer` then, or else
-    /// has only been opened.
+    /// Returns when a connection that was last used at `since` is to be closed between requests. `answer` tells whether that
+    /// use was an answer; otherwise the connection was only opened.
     fn closes_at(self, phase: Phase, since: Time, answer: bool) -> Option<Time> {
         match self {
             Admission::Served => phase.closes_at(since, answer),
             Admission::Refused if answer => Some(since),
-            Admission::Refused => Some(since + REFUSED_PATIENCE),
+            Admission::Refused => Some(since + REFUSED_COMMAND_TIMEOUT),
         }
     }
 
-    /// When a request must have its answer that is taken at `now` and due at `due`.
+    /// Returns the deadline of a request that is accepted at `now` and whose client waits until `due`.
     fn due(self, due: Time, now: Time) -> Time {
         match self {
             Admission::Served => due,
@@ -136,18 +137,18 @@
     }
 }
 
-/// A connection as its front accepted it.
+/// A connection that the front has accepted.
 pub struct NewConnection {
-    /// Its place.
+    /// The client slot that the connection occupies.
     pub slot: ClientSlot,
-    /// The earliest moment at which what lies on it may have come.
+    /// The earliest time at which unread data of the connection may have arrived.
     pub arrived: Time,
-    /// What becomes of its requests.
+    /// How the requests of the connection are handled.
     pub admission: Admission,
 }
 
-/// Carries one client connection until either side is done with it, or until the broker's phase wants it closed
-/// between requests.
+/// Serves one client connection until either side ends it, or until the broker's phase requires that it is closed between
+/// requests.
 pub async fn serve<W: Wire, S: Session<W>>(
     stream: TcpStream,
     mut session: S,
@@ -158,13 +159,21 @@
     let (back, mut answers) = unbounded_channel();
     let mut read = BytesMut::new();
     let mut activity = Activity::new(loop_clock.now());
-    // What was read while nothing was taken.
-    let mut untaken = false;
-    // Since when nothing was read.
+    // Whether data was read ahead while no request was accepted.
+    let mut has_unparsed = false;
+    // Since when the socket has not been read.
     let mut not_read_since = None;
-    let lying = (unread(&stream) == Unread::Bytes).then_some(arrived);
-    let seen_open = Cell::new(Time::MIN);
-    let ways = Ways { planner, guard, back, loop_clock, admission, lying: Cell::new(lying), seen_open };
+    let waiting_since = (unread(&stream) == Unread::Bytes).then_some(arrived);
+    let last_seen_open = Cell::new(Time::MIN);
+    let dispatcher = Dispatcher {
+        planner,
+        guard,
+        back,
+        loop_clock,
+        admission,
+        waiting_since: Cell::new(waiting_since),
+        last_seen_open,
+    };
     let _ = stream.set_nodelay(true);
     let reason = loop {
         session.fill_outbox();
@@ -173,46 +182,48 @@
             break CloseReason::BrokenValue;
         }
         let idle = session.unanswered().is_empty() && !waiting && !session.is_streaming();
-        let gives_way = idle && session.is_evictable();
-        slot.set_evictable(gives_way.then(|| activity.spare()));
-        let now = ways.loop_clock.now();
-        let deadline = activity.deadline(now, gives_way, waiting);
+        let evictable = idle && session.is_evictable();
+        slot.set_evictable(evictable.then(|| activity.spare()));
+        let now = dispatcher.loop_clock.now();
+        let deadline = activity.deadline(now, evictable, waiting);
         let is_over = |at: Option<Time>| at.is_some_and(|at| at <= now);
         let over = is_over(deadline);
-        // A command that has begun is waited for: its last byte may be on its way.
-        let stands = *phase.borrow();
-        let closes = admission.closes_at(stands, activity.last_use(), activity.is_used());
+        // A partly received command keeps the connection open: its last byte may be in transit.
+        let current_phase = *phase.borrow();
+        let closes = admission.closes_at(current_phase, activity.last_use(), activity.is_used());
         let closes = closes.filter(|_| idle && !activity.has_partial_command());
-        // So is the rest of several that were sent at once. Where all are refused, so is what has not come.
+        // So do commands that a client sent as a batch and that have not arrived yet. Where all requests are refused, the missing
+        // ones of a batch are refused as well.
         let batch = activity.batch_until(now).filter(|_| idle && admission == Admission::Served);
         let closes = closes.map(|at| at.max(batch.unwrap_or(at)));
-        // Half a command is not waited for beyond the last moment at which its answer could be given.
-        let ends = stands.last_answer_at().filter(|_| idle);
-        let deaf = stands.stops_reading_at().filter(|_| !idle);
-        let listens = deaf.is_none_or(|at| at > now) && !session.is_ending();
-        let open = listens && !session.is_full() && session.outbox().len() < MOST_UNREAD;
-        if open && std::mem::take(&mut untaken) {
-            // What was read is answered, whatever else would be done with the connection now.
-            ways.take(&stream, &mut session, &mut activity, &mut read);
+        // A partial command does not keep the connection open beyond the last time at which it could be answered.
+        let ends = current_phase.last_answer_at().filter(|_| idle);
+        let stops_reading = current_phase.stops_reading_at().filter(|_| !idle);
+        let may_read = stops_reading.is_none_or(|at| at > now) && !session.is_ending();
+        let accepts = may_read && !session.is_full() && session.outbox().len() < MAX_UNREAD_ANSWERS;
+        if accepts && std::mem::take(&mut has_unparsed) {
+            // Data that was read ahead is parsed and answered before the connection is considered for closing.
+            dispatcher.take(&stream, &mut session, &mut activity, &mut read);
             continue;
         }
         if over && waiting {
             break CloseReason::NotRead;
         }
-        let wanted = (slot.is_close_requested() && batch.is_none()) || is_over(closes) || is_over(ends);
+        let close_wanted = (slot.is_close_requested() && batch.is_none()) || is_over(closes) || is_over(ends);
         if idle && session.is_ending() {
             break CloseReason::Ended;
         }
         let unfinished = activity.has_partial_command()
-            && (over || is_over(ends) || (gives_way && slot.is_close_requested()));
-        if unfinished || (idle && (over || wanted)) {
-            // The clock may have run while nobody read: what has come is taken first. The runtime is asked to look again.
-            let reads = stands.reads_idle_connections(now);
+            && (over || is_over(ends) || (evictable && slot.is_close_requested()));
+        if unfinished || (idle && (over || close_wanted)) {
+            // The process may have been paused while the time passed, so data that has arrived is read first. Yielding lets the
+            // runtime poll the sockets again.
+            let reads = current_phase.reads_idle_connections(now);
             if reads && unread(&stream) == Unread::Bytes && !session.is_ending() {
                 tokio::task::yield_now().await;
                 match stream.try_read_buf(&mut read) {
                     Ok(1..) => {
-                        ways.take(&stream, &mut session, &mut activity, &mut read);
+                        dispatcher.take(&stream, &mut session, &mut activity, &mut read);
                         continue;
                     }
                     Err(error) if passes(&error) => continue,
@@ -234,41 +245,43 @@
                 };
             }
         }
-        let wakes = [deadline, closes, ends, deaf, batch].into_iter().flatten();
+        let wakes = [deadline, closes, ends, stops_reading, batch].into_iter().flatten();
         slot.set_deadline(wakes.filter(|at| *at > now).min());
-        let stirred = session.wakeup();
-        // One that has gone must be seen whatever else it is owed. What will not be answered is not read at all.
-        let ahead = if untaken { read.len() } else { 0 };
-        let room =
-            session.charge_unparsed(ahead.saturating_sub(AHEAD) + if ahead < AHEAD { 0 } else { READ });
+        let wakeup = session.wakeup();
+        // The socket is read ahead so that a client that has closed is noticed even while its requests are unanswered. It is not
+        // read any more once new requests would not be answered.
+        let ahead = if has_unparsed { read.len() } else { 0 };
+        let room = session.charge_unparsed(
+            ahead.saturating_sub(READ_AHEAD) + if ahead < READ_AHEAD { 0 } else { READ_CHUNK },
+        );
         let reads_ahead =
-            !session.is_streaming() && (read.len() < AHEAD || (room && read.len() < MOST_AHEAD));
-        let reads = open || (listens && reads_ahead);
+            !session.is_streaming() && (read.len() < READ_AHEAD || (room && read.len() < MAX_READ_AHEAD));
+        let reads = accepts || (may_read && reads_ahead);
         if !reads {
             not_read_since = not_read_since.or(Some(now));
         } else if let Some(since) = not_read_since.take().filter(|_| unread(&stream) == Unread::Bytes) {
-            ways.lies_since(since);
+            dispatcher.note_waiting_since(since);
         }
         if read.is_empty() {
-            ways.look_again(&stream);
+            dispatcher.clear_if_drained(&stream);
         }
         tokio::select! {
             biased;
             Some((id, answer)) = answers.recv() => {
-                ways.answer(&mut session, id, answer);
+                dispatcher.answer(&mut session, id, answer);
                 while let Ok((id, answer)) = answers.try_recv() {
-                    ways.answer(&mut session, id, answer);
+                    dispatcher.answer(&mut session, id, answer);
                 }
-                // What was read but held back because too much was owed.
+                // Parses data that was held back while too many requests were unanswered.
                 if !read.is_empty() && !session.is_full() {
-                    ways.take(&stream, &mut session, &mut activity, &mut read);
+                    dispatcher.take(&stream, &mut session, &mut activity, &mut read);
                 }
             }
             ready = stream.writable(), if waiting => {
                 match ready.and_then(|()| stream.try_write_vectored(&session.outbox().slices())) {
                     Ok(n) => {
                         session.wrote(n);
-                        activity.wrote(ways.loop_clock.now());
+                        activity.wrote(dispatcher.loop_clock.now());
                     }
                     Err(e) if is_short_of_memory(&e) => tokio::time::sleep(REST).await,
                     Err(e) if passes(&e) => {}
@@ -276,7 +289,7 @@
                 }
             }
             ready = stream.readable(), if reads => {
-                read.reserve(READ);
+                read.reserve(READ_CHUNK);
                 match ready.and_then(|()| stream.try_read_buf(&mut read)) {
                     Ok(0) => break CloseReason::ClientGone,
                     Ok(_) => {}
@@ -285,20 +298,20 @@
                         continue;
                     }
                     Err(e) if passes(&e) => {
-                        ways.found_nothing(&e);
+                        dispatcher.note_still_open(&e);
                         continue;
                     }
                     Err(_) => break CloseReason::ClientGone,
                 }
-                match open {
-                    true => ways.take(&stream, &mut session, &mut activity, &mut read),
+                match accepts {
+                    true => dispatcher.take(&stream, &mut session, &mut activity, &mut read),
                     false => {
-                        untaken = true;
-                        ways.lies_since(ways.loop_clock.came());
+                        has_unparsed = true;
+                        dispatcher.note_waiting_since(dispatcher.loop_clock.came());
                     }
                 }
             }
-            () = tokio::time::sleep(LOOK), if !reads => {
+            () = tokio::time::sleep(CLOSE_POLL_INTERVAL), if !reads => {
                 if has_closed(&stream).await {
                     break CloseReason::ClientGone;
                 }
@@ -308,16 +321,16 @@
                     session.stop();
                 }
             }
-            () = stir(stirred) => {
-                // There may be room again for what was read.
+            () = stir(wakeup) => {
+                // The limit of unanswered requests may allow data that was read before.
                 if !read.is_empty() && !session.is_full() {
-                    ways.take(&stream, &mut session, &mut activity, &mut read);
+                    dispatcher.take(&stream, &mut session, &mut activity, &mut read);
                 }
             }
             () = slot.woken() => {}
         }
     };
-    ways.end(&session, &activity, reason, *phase.borrow());
+    dispatcher.end(&session, &activity, reason, *phase.borrow());
     let refuses = !activity.is_used() || admission == Admission::Refused;
     if refuses && reason.is_broker_initiated() {
         session.refuse_pending();
@@ -328,9 +341,9 @@
     }
 }
 
-/// Writes a few last bytes. A client that does not take even these is owed no more.
+/// Writes the last bytes of a connection. Gives up on a client that does not read them.
 async fn write_last<W: Wire, S: Session<W>>(stream: &TcpStream, session: &mut S) {
-    for _ in 0..LAST_TRIES {
+    for _ in 0..MAX_FINAL_WRITES {
         if session.outbox().is_empty() {
             return;
         }
@@ -342,8 +355,9 @@
     }
 }
 
-/// Whether a connection is kept for a moment after its end was said: what crosses the end must not reset away an answer that is
-/// on its way. Where places run out, one that had none or never said a word makes way at once.
+/// Whether a connection stays open for a moment after its write side is shut down: a request that crosses the end would
+/// cause a reset, which may discard an answer in transit. Where connection slots run out, a refused connection and one that
+/// never sent a request are closed at once.
 fn lingers(reason: CloseReason, used: bool, admission: Admission) -> bool {
     match reason {
         CloseReason::ClientGone | CloseReason::NotRead | CloseReason::BrokenValue => false,
@@ -352,7 +366,7 @@
     }
 }
 
-/// Whether the client has closed its side, behind whatever it has sent that is not read.
+/// Whether the client has closed its side of the connection, even if data before the end is still unread.
 async fn has_closed(stream: &TcpStream) -> bool {
     tokio::select! {
         biased;
@@ -361,13 +375,13 @@
     }
 }
 
-/// What all sessions of a front share.
+/// State that all sessions of a front share.
 pub struct SessionContext<W: Wire> {
-    /// Where their requests go.
+    /// The planner, which receives the sessions' requests.
     pub planner: UnboundedSender<Input<W>>,
-    /// Whom they ask before they take, answer or close.
+    /// Checks that every request is answered exactly once; told of each request, answer and close.
     pub guard: Guard,
-    /// The time, and how late this process runs.
+    /// The event loop's clock and scheduling lag.
     pub loop_clock: Pulse,
     /// The broker's phase.
     pub phase: watch::Receiver<Phase>,
@@ -380,35 +394,37 @@
     }
 }
 
-/// Where a session's requests go, and where their answers come back to.
-struct Ways<W: Wire> {
+/// Passes the requests of one connection to the planner, with the sender through which their answers return.
+struct Dispatcher<W: Wire> {
     planner: UnboundedSender<Input<W>>,
     guard: Guard,
     back: AnswerSender<W::Reply>,
     loop_clock: Pulse,
     admission: Admission,
-    /// Since when what is taken next may have waited, in the socket or in what was read ahead; nothing if it has just come.
-    lying: Cell<Option<Time>>,
-    /// When a read last found neither bytes nor the client's end.
-    seen_open: Cell<Time>,
+    /// Since when the data that is parsed next may have waited, in the socket or in the read-ahead buffer. `None` if it has
+    /// just arrived.
+    waiting_since: Cell<Option<Time>>,
+    /// When a read last found neither data nor the end of the connection.
+    last_seen_open: Cell<Time>,
 }
 
-impl<W: Wire> Ways<W> {
-    /// Gives a request its answer.
+impl<W: Wire> Dispatcher<W> {
+    /// Records an answer with the guard and passes it to the session.
     fn answer<S: Session<W>>(&self, session: &mut S, id: RequestId, answer: Answer<W::Reply>) {
         self.guard.answer(id, self.loop_clock.now());
         session.answer(id, answer);
     }
 
-    /// A connection ends: what it owes is nobody's any more.
+    /// Ends a connection and withdraws its unanswered requests from the planner.
     fn end<S: Session<W>>(&self, session: &S, activity: &Activity, reason: CloseReason, phase: Phase) {
         let owed = session.unanswered();
-        // The client may have closed it at the beginning of a stall, but not before it was last seen open.
-        let closed = self.loop_clock.came().max(self.seen_open.get());
+        // If the process stalled, the client may have closed at the beginning of the stall, but not before the connection was
+        // last seen open.
+        let closed = self.loop_clock.came().max(self.last_seen_open.get());
         self.guard.close(&owed, closed, reason);
         match reason {
             CloseReason::NotRead | CloseReason::BrokenValue if !owed.is_empty() => {
-                tracing::warn!(?reason, ?owed, "client closed under what it is owed");
+                tracing::warn!(?reason, ?owed, "connection closed with unanswered requests");
             }
             _ => {
                 let now = self.loop_clock.now();
@@ -431,27 +447,27 @@
         }
     }
 
-    /// A read of the client's connection has found neither bytes nor its end, if that is what the error says.
-    fn found_nothing(&self, error: &std::io::Error) {
+    /// Records that the connection is still open if `error` says that a read found neither data nor its end.
+    fn note_still_open(&self, error: &std::io::Error) {
         if error.kind() == ErrorKind::WouldBlock {
-            self.seen_open.set(self.loop_clock.now());
+            self.last_seen_open.set(self.loop_clock.now());
         }
     }
 
-    /// Nothing has waited any more once nothing lies there: an earlier look may not have told.
-    fn look_again(&self, stream: &TcpStream) {
-        if self.lying.get().is_some() && unread(stream) == Unread::Nothing {
-            self.lying.set(None);
+    /// Clears the waiting time once the socket is empty: an earlier check may not have been able to tell.
+    fn clear_if_drained(&self, stream: &TcpStream) {
+        if self.waiting_since.get().is_some() && unread(stream) == Unread::Nothing {
+            self.waiting_since.set(None);
         }
     }
 
-    /// What is taken next may have waited since then, if not for longer.
-    fn lies_since(&self, since: Time) {
-        self.lying.set(Some(self.lying.get().map_or(since, |before| before.min(since))));
+    /// Records that the data that is parsed next may have waited since `since`; an earlier recorded time is kept.
+    fn note_waiting_since(&self, since: Time) {
+        self.waiting_since.set(Some(self.waiting_since.get().map_or(since, |before| before.min(since))));
     }
 
-    /// Has the session take what was read, and hands over what it asks for. Its clients count from when it came, not from
-    /// when there was room for it.
+    /// Has the session parse what was read, and passes its requests to the planner. A request's deadline counts from when the
+    /// data arrived, not from when the session could accept it.
     fn take<S: Session<W>>(
         &self,
         stream: &TcpStream,
@@ -459,27 +475,33 @@
         activity: &mut Activity,
         read: &mut BytesMut,
     ) {
-        let (before, mut asks) = (read.len(), Vec::new());
+        let (before, mut requests) = (read.len(), Vec::new());
         let came = self.loop_clock.came();
-        let lying = self.lying.get();
-        let arrived = lying.map_or(came, |since| since.min(came));
-        session.receive(arrived, read, &mut asks);
+        let waiting_since = self.waiting_since.get();
+        let arrived = waiting_since.map_or(came, |since| since.min(came));
+        session.receive(arrived, read, &mut requests);
         let waited_us = self.loop_clock.now() - arrived;
-        if waited_us > WORTH_A_LINE && !asks.is_empty() {
-            tracing::debug!(waited_us, lying = lying.is_some(), requests = asks.len(), "counts from before");
+        if waited_us > LOGGED_WAIT && !requests.is_empty() {
+            tracing::debug!(
+                waited_us,
+                lying = waiting_since.is_some(),
+                requests = requests.len(),
+                "requests arrived before they were read"
+            );
         }
-        let rests = |lying: Option<Time>| {
-            lying.is_some() && ((session.is_full() && !read.is_empty()) || unread(stream) == Unread::Bytes)
+        let rests = |waiting_since: Option<Time>| {
+            waiting_since.is_some()
+                && ((session.is_full() && !read.is_empty()) || unread(stream) == Unread::Bytes)
         };
-        self.lying.set(lying.filter(|_| rests(lying)));
-        activity.read(self.loop_clock.now(), before, read.len(), asks.len());
+        self.waiting_since.set(waiting_since.filter(|_| rests(waiting_since)));
+        activity.read(self.loop_clock.now(), before, read.len(), requests.len());
         if read.is_empty() {
-            // A client that is idle must not pin the buffer of its last command.
+            // An idle client must not keep the buffer of its last command allocated.
             *read = BytesMut::new();
         }
-        for (mut arrival, request) in asks {
+        for (mut arrival, request) in requests {
             arrival.due = self.admission.due(arrival.due, self.loop_clock.now());
-            // The time of one whose body is still coming is not known yet.
+            // The deadline of a request whose body is still arriving is not known yet.
             let due = if W::streams_body(&request) { Time::MAX } else { arrival.due };
             self.guard.take(arrival.id, due);
             let ask = ClientRequest { arrival, request, back: self.back.clone(), of_client: true };
@@ -493,14 +515,14 @@
     }
 }
 
-/// Ends a connection so that what was written arrives. Nothing is read any more: a request that crosses the end is not
-/// taken, and its client, which sees the connection end, sends it elsewhere.
+/// Closes a connection so that what was written arrives. Nothing is read any more: a request that crosses the end is not
+/// accepted, and its client, which sees the connection end, sends it to another broker.
 pub(super) async fn close(mut stream: TcpStream) {
     use tokio::io::AsyncWriteExt;
     let ended = async {
         let _ = stream.shutdown().await;
         while !has_closed(&stream).await {
-            tokio::time::sleep(LOOK / 4).await;
+            tokio::time::sleep(CLOSE_POLL_INTERVAL / 4).await;
         }
     };
     let _ = tokio::time::timeout(LINGER, ended).await;
