--- a/crates/lab/src/fleet/kernel.rs
+++ b/crates/lab/src/fleet/kernel.rs
@@ -2,7 +2,7 @@
 //! are of the whole network namespace, so brokers that run beside one another share them. The state of one connection is asked for
 //! by its two ends, which costs the same however many others there are.
 
-use claywinch::wire::sock_diag::{encode, MOST_BYTES, NETLINK_SOCK_DIAG};
+use claywinch::wire::sock_diag::{encode, MAX_REPLY_BYTES, NETLINK_SOCK_DIAG};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -27,7 +27,7 @@
     let domain = Domain::from(libc::AF_NETLINK);
     let mut socket = Socket::new(domain, Type::from(libc::SOCK_RAW), Some(protocol))?;
     socket.write_all(&encode(0, local, remote))?;
-    let mut text = [0; MOST_BYTES];
+    let mut text = [0; MAX_REPLY_BYTES];
     let length = socket.read(&mut text)?;
     decode_state(&text[..length], remote.port())
 }
--- a/crates/lab/src/scale/host.rs
+++ b/crates/lab/src/scale/host.rs
@@ -5,9 +5,9 @@
 use super::{io, ScaleError, Watch};
 use claywinch::run::cluster::{Cluster, File, Hooks, Order};
 use claywinch::state::membership::mix;
-use claywinch::wire::admin::desk::Cluster as _;
+use claywinch::wire::admin::handler::Cluster as _;
 use claywinch::wire::clock::Clock;
-use claywinch::wire::link::Limits;
+use claywinch::wire::link::SendDeadlines;
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -326,7 +326,7 @@
     });
     let (own, notes) = (name.to_string(), pen.clone());
     let halt = Box::new(move |halted| notes.note(What::Halted { name: own.clone(), halted }));
-    let permit = Rc::new(Limits { lease: Rc::default(), list: Cell::default() });
+    let permit = Rc::new(SendDeadlines { lease: Rc::default(), list: Cell::default() });
     Hooks { apply, halt, permit }
 }
 
--- a/src/run/cluster.rs
+++ b/src/run/cluster.rs
@@ -8,7 +8,7 @@
 use crate::state::membership::lease::over_after;
 use crate::state::membership::node::{Node, Output, Phase};
 use crate::state::membership::{Settings, View, MOST_DRAINS, MOST_NAME};
-use crate::wire::admin::desk;
+use crate::wire::admin::handler;
 use crate::wire::clock::Clock;
 use crate::wire::cluster::{encode, Parts, MOST_DATAGRAM};
 use crate::wire::link::Permit;
@@ -337,7 +337,7 @@
     }
 }
 
-impl desk::Cluster for Cluster {
+impl handler::Cluster for Cluster {
     fn members(&self) -> String {
         self.part.node.borrow().as_ref().map(|node| self.part.show(node)).unwrap_or_default()
     }
--- a/src/run/front.rs
+++ b/src/run/front.rs
@@ -8,7 +8,7 @@
 use crate::state::planner::Wire;
 use crate::wire::clock::Clock;
 use crate::wire::session::{serve, Admission, NewConnection, Session, SessionContext};
-use crate::wire::socket::{accepted_now, unread, Unread};
+use crate::wire::socket::{try_accept, unread, Unread};
 use std::cell::{Cell, RefCell};
 use std::io::ErrorKind;
 use std::os::fd::AsFd;
@@ -143,7 +143,7 @@
     /// Takes note of what is known of the accept queue from now on.
     fn note(&self, what: impl FnOnce(&mut AcceptQueue, Time)) {
         let mut queue = self.accept_queue.get();
-        what(&mut queue, self.context.loop_clock.came());
+        what(&mut queue, self.context.loop_clock.earliest_arrival());
         self.accept_queue.set(queue);
     }
 
@@ -158,7 +158,7 @@
     /// The earliest moment at which what lies on a connection may have come that is accepted now.
     fn arrival(&self, stream: &TcpStream) -> Time {
         let queue = self.accept_queue.get();
-        let known = queue.earliest_arrival(self.context.loop_clock.came());
+        let known = queue.earliest_arrival(self.context.loop_clock.earliest_arrival());
         if !queue.is_unattended() || unread(stream) != Unread::Bytes {
             return known;
         }
@@ -201,7 +201,7 @@
         if self.waiting.borrow().is_some() {
             return true;
         }
-        match accepted_now(&self.listener).await {
+        match try_accept(&self.listener).await {
             Some(Ok(stream)) => {
                 let next = self.accepted(stream);
                 self.note(AcceptQueue::mark_waiting);
@@ -240,7 +240,7 @@
                 self.serve_waiting(session, Admission::Served);
                 continue;
             }
-            let accepted = match accepted_now(&self.listener).await {
+            let accepted = match try_accept(&self.listener).await {
                 Some(accepted) => accepted,
                 None => {
                     self.note(|queue, _| queue.mark_empty());
--- a/src/run/handover.rs
+++ b/src/run/handover.rs
@@ -9,7 +9,7 @@
 use crate::state::phase::{Phase, Transition};
 use crate::state::planner::{Input, ListedNode, Wire};
 use crate::state::pool::SUPERSEDED_LINKS;
-use crate::wire::admin::desk::{step, Keep};
+use crate::wire::admin::handler::{change_phase, SaveRequest};
 use crate::wire::clock::Clock;
 use std::cell::{Cell, RefCell};
 use std::fs::File;
@@ -44,7 +44,7 @@
     /// Version of the list.
     pub revision: Rc<Cell<u64>>,
     /// Who wants the calls written down now.
-    pub save_requests: UnboundedReceiver<Keep>,
+    pub save_requests: UnboundedReceiver<SaveRequest>,
     /// The planner.
     pub planner: UnboundedSender<Input<W>>,
     /// The broker's phase.
@@ -143,7 +143,7 @@
             self.bound(clients, Some(links));
         }
         let before = *self.phase.borrow();
-        let _ = step(&self.phase, Transition::Yield(successor), now);
+        let _ = change_phase(&self.phase, Transition::Yield(successor), now);
         if before != *self.phase.borrow() {
             // Cold nodes are left to the process that serves in the place of this one.
             let cold = successor.then_some(self.cold);
--- a/src/run/nbd.rs
+++ b/src/run/nbd.rs
@@ -17,7 +17,7 @@
 use crate::state::phase::Phase;
 use crate::state::planner::{Input, Planner};
 use crate::state::pool::PoolLimits;
-use crate::wire::clock::{Clock, Pulse};
+use crate::wire::clock::{Clock, LoopClock};
 use crate::wire::discovery::NodeNumbers;
 use crate::wire::link::Permit;
 use crate::wire::nbd::client::Node;
@@ -39,7 +39,7 @@
     /// The time.
     pub clock: Clock,
     /// Whether the process has been stalled.
-    pub pulse: Pulse,
+    pub loop_clock: LoopClock,
     /// For random numbers.
     pub seed: u64,
     /// Its connections.
@@ -125,7 +125,7 @@
         shutdown_requests: ended,
         inputs,
         input_sender: own.clone(),
-        loop_clock: place.pulse.clone(),
+        loop_clock: place.loop_clock.clone(),
         connect_timeout: Rc::new(Cell::new(bounds.connect())),
         reply_budget: BufferBudget::new(place.limits.room),
         permit: place.permit,
@@ -140,7 +140,7 @@
         context: SessionContext {
             planner: own.clone(),
             guard: request_guard,
-            loop_clock: place.pulse,
+            loop_clock: place.loop_clock,
             phase: place.phase,
         },
         slots: slots.clone(),
--- a/src/run/planner_driver.rs
+++ b/src/run/planner_driver.rs
@@ -5,8 +5,8 @@
 use crate::state::interceptor::Interceptor;
 use crate::state::planner::{AttemptEnd, Effect, Input, Planner, Wire};
 use crate::state::pool::{ChannelKind, LinkId};
-use crate::wire::clock::Pulse;
-use crate::wire::link::{Exchange, LinkTask, Order, Permit};
+use crate::wire::clock::LoopClock;
+use crate::wire::link::{Exchange, LinkCommand, LinkTask, Permit};
 use std::cell::Cell;
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -38,7 +38,7 @@
     /// Where links report to.
     pub input_sender: UnboundedSender<Input<W>>,
     /// The time, and how late this process runs.
-    pub loop_clock: Pulse,
+    pub loop_clock: LoopClock,
     /// How long a link's connection may take to come up.
     pub connect_timeout: Rc<Cell<Duration>>,
     /// Room for replies that are not whole yet.
@@ -50,7 +50,7 @@
 impl<W: Wire, G: Interceptor<W>> PlannerDriver<W, G> {
     /// Turns until the process ends; `exchange` makes the protocol of a new link on a lane.
     pub async fn run<X: Exchange<W>>(mut self, exchange: impl Fn(ChannelKind) -> X) {
-        let mut links: HashMap<LinkId, UnboundedSender<Order<W>>> = HashMap::new();
+        let mut links: HashMap<LinkId, UnboundedSender<LinkCommand<W>>> = HashMap::new();
         let (mut inputs, mut taken, mut effects) = (Vec::new(), Vec::new(), Vec::new());
         let mut ended: Option<oneshot::Sender<()>> = None;
         let (mut report_at, mut was_late) = (self.loop_clock.now() + REPORT, false);
@@ -77,7 +77,7 @@
                 taken.push(Input::HostLateness(late));
             }
             was_late = late > ON_TIME;
-            self.planner.note_lateness(self.loop_clock.lately());
+            self.planner.note_lateness(self.loop_clock.recent_lag());
             let (count, work) = (inputs.len(), self.planner.work());
             for input in inputs.drain(..) {
                 if let Input::LinkDown(link, _) = &input {
@@ -98,16 +98,16 @@
             for effect in effects.drain(..) {
                 match effect {
                     Effect::Open(id, _, lane, address) => {
-                        let (sender, orders) = unbounded_channel();
+                        let (sender, commands) = unbounded_channel();
                         links.insert(id, sender);
                         let task = LinkTask {
                             id,
                             address,
                             connect_timeout: self.connect_timeout.get(),
                             exchange: exchange(lane),
-                            orders,
+                            commands,
                             planner: self.input_sender.clone(),
-                            pulse: self.loop_clock.clone(),
+                            loop_clock: self.loop_clock.clone(),
                             budget: self.reply_budget.clone(),
                             permit: self.permit.clone(),
                             guard: self.planner.guard().clone(),
@@ -116,8 +116,8 @@
                         tokio::task::spawn_local(task.run());
                     }
                     Effect::Send(link, tag, span, request) => {
-                        let order = Order::Send(tag, span, request);
-                        let sent = links.get(&link).is_some_and(|sender| sender.send(order).is_ok());
+                        let command = LinkCommand::Send(tag, span, request);
+                        let sent = links.get(&link).is_some_and(|sender| sender.send(command).is_ok());
                         if !sent {
                             // The link has ended, and says so in the next turn; this was never written.
                             let end = AttemptEnd::without_reply(Ending::Unreachable);
@@ -125,11 +125,11 @@
                         }
                     }
                     Effect::Withdraw(link, tag) => {
-                        let _ = links.get(&link).map(|sender| sender.send(Order::Withdraw(tag)));
+                        let _ = links.get(&link).map(|sender| sender.send(LinkCommand::Withdraw(tag)));
                     }
                     Effect::Bar(link) => {
                         // A link that has ended says so by itself.
-                        let _ = links.get(&link).map(|sender| sender.send(Order::Bar));
+                        let _ = links.get(&link).map(|sender| sender.send(LinkCommand::StopSending));
                     }
                     Effect::Close(link) => {
                         links.remove(&link);
@@ -140,7 +140,7 @@
                     }
                 }
             }
-            self.loop_clock.spent("a turn of the scheduler", now);
+            self.loop_clock.record_blocking("a turn of the scheduler", now);
             let took = self.loop_clock.now() - now;
             if took > LONG_TURN || late > LONG_TURN * 5 {
                 let (requests, attempts, _) = self.planner.load();
--- a/src/run/reload.rs
+++ b/src/run/reload.rs
@@ -9,7 +9,7 @@
 use crate::state::phase::{grace, Phase, Transition};
 use crate::state::planner::Input;
 use crate::state::pool::LinkSettings;
-use crate::wire::admin::desk::step;
+use crate::wire::admin::handler::change_phase;
 use crate::wire::clock::Clock;
 use crate::wire::resp::server::SharedState;
 use crate::wire::resp::Resp;
@@ -104,7 +104,7 @@
         self.connect_timeout.set(bounds.connect());
         self.lists.set(lists);
         self.deadlines.set(deadlines);
-        let _ = step(&self.phase, Transition::Grace(grace(deadlines)), self.clock.now());
+        let _ = change_phase(&self.phase, Transition::Grace(grace(deadlines)), self.clock.now());
         if let Some(by) = self.phase.borrow().last_answer_at() {
             let _ = self.planner.send(Input::AnswerAllBy(by));
         }
--- a/src/run/socket_age.rs
+++ b/src/run/socket_age.rs
@@ -1,7 +1,7 @@
 //! How long the data on a connection has waited, by the kernel's own count. It is asked only of connections that were made while
 //! nobody accepted: no clock of this process saw them come.
 
-use crate::wire::sock_diag::{decode, encode, MOST_BYTES, NETLINK_SOCK_DIAG};
+use crate::wire::sock_diag::{decode, encode, MAX_REPLY_BYTES, NETLINK_SOCK_DIAG};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io::{Error, Read, Result, Write};
 use std::time::Duration;
@@ -48,7 +48,7 @@
         self.sequence = self.sequence.wrapping_add(1);
         socket.write_all(&encode(self.sequence, local, remote))?;
         // The kernel has answered when the question is written.
-        let mut text = [0; MOST_BYTES];
+        let mut text = [0; MAX_REPLY_BYTES];
         let length = socket.read(&mut text)?;
         self.socket = Some(socket);
         Ok(decode(self.sequence, &text[..length]))
--- a/src/run/start.rs
+++ b/src/run/start.rs
@@ -28,11 +28,11 @@
 use crate::state::pool::PoolLimits;
 use crate::state::starts::StartTimes;
 use crate::wire::admin;
-use crate::wire::admin::desk::{step, tell, Desk};
-use crate::wire::admin::serve::MOST_CALLERS;
-use crate::wire::clock::{Clock, Pulse};
+use crate::wire::admin::handler::{change_phase, notify_nodes, CallHandler};
+use crate::wire::admin::serve::MAX_CONNECTIONS;
+use crate::wire::clock::{Clock, LoopClock};
 use crate::wire::discovery::NodeNumbers;
-use crate::wire::link::{Limits as Written, Permit};
+use crate::wire::link::{Permit, SendDeadlines};
 use crate::wire::resp::client::Node;
 use crate::wire::resp::server::{Client, SharedState};
 use crate::wire::resp::Resp;
@@ -70,7 +70,7 @@
     let clock = Clock::system();
     let deploy = Deploy::load(&config.nbd_file)?;
     let nbd_on = deploy.as_ref().is_some_and(|d| d.listen.is_some());
-    let callers = if config.admin.is_some() { MOST_CALLERS } else { 0 };
+    let callers = if config.admin.is_some() { MAX_CONNECTIONS } else { 0 };
     let deployed = config.limits;
     let share = move |descriptors| Limits::share(descriptors, deployed.memory_mb, nbd_on, callers);
     let (limits, nbd_limits) = share(deployed.sockets);
@@ -79,8 +79,8 @@
     let (phase, phases) = watch::channel(Phase::default());
     let phase = Rc::new(phase);
     let slots = ClientSlots::default();
-    let pulse = Pulse::new(clock);
-    tokio::task::spawn_local(pulse.clone().run());
+    let loop_clock = LoopClock::new(clock);
+    tokio::task::spawn_local(loop_clock.clone().run());
 
     // What the process before this one has left, if it may still be running, too.
     let name = format!("claywinch-{}.handover", config.name.replace(['/', '\\', '.'], "_"));
@@ -140,7 +140,7 @@
     // A broker of a cluster sends nothing before its first lease.
     let bound = config.cluster.as_ref().is_some_and(|file| file.without_lease == WithoutLease::Stop);
     let lease = Rc::new(Cell::new(if bound { Time::MIN } else { Time::MAX }));
-    let permit: Permit = Rc::new(Written { lease, list: Cell::new(Time::MAX) });
+    let permit: Permit = Rc::new(SendDeadlines { lease, list: Cell::new(Time::MAX) });
     let driver = PlannerDriver {
         name: "resp",
         planner,
@@ -148,7 +148,7 @@
         shutdown_requests: unbounded_channel().1,
         inputs,
         input_sender: own.clone(),
-        loop_clock: pulse.clone(),
+        loop_clock: loop_clock.clone(),
         connect_timeout: connect_timeout.clone(),
         reply_budget: budget.clone(),
         permit: permit.clone(),
@@ -182,7 +182,7 @@
         terms: lists,
         permit: permit.clone(),
         starts,
-        pulse: pulse.clone(),
+        loop_clock: loop_clock.clone(),
     };
     tokio::task::spawn_local(watcher.run());
 
@@ -197,7 +197,7 @@
         context: SessionContext {
             planner: own.clone(),
             guard: guard.clone(),
-            loop_clock: pulse.clone(),
+            loop_clock: loop_clock.clone(),
             phase: phases.clone(),
         },
         slots: slots.clone(),
@@ -257,9 +257,10 @@
             let phase = phases.clone();
             // Its nodes stand in a file: what discovery may have told does not concern them.
             let list = Cell::new(Time::MAX);
-            let permit = Rc::new(Written { lease: permit.lease.clone(), list });
-            let pulse = pulse.clone();
-            let place = nbd::Place { clock, pulse, seed: config.seed, limits: nbd_limits, phase, permit };
+            let permit = Rc::new(SendDeadlines { lease: permit.lease.clone(), list });
+            let loop_clock = loop_clock.clone();
+            let place =
+                nbd::Place { clock, loop_clock, seed: config.seed, limits: nbd_limits, phase, permit };
             Some(nbd::start(deploy, config.nbd_file, place, bounds)?)
         }
     };
@@ -269,7 +270,7 @@
             let (nodes, planner) = (maintenance.clone(), own.clone());
             let apply = Box::new(move |drains: &BTreeSet<String>| {
                 let told = nodes.borrow_mut().set_shared(clock.now(), drains.clone());
-                tell(&planner, told)
+                notify_nodes(&planner, told)
             });
             let (nodes, planner) = (maintenance.clone(), own.clone());
             let halt = Box::new(move |halted| {
@@ -284,23 +285,29 @@
         tokio::task::spawn_local(follow_phase(cluster, phases.clone()));
     }
     if let Some(address) = &config.admin {
-        let cluster = cluster.clone().map(|c| Box::new(c) as Box<dyn admin::desk::Cluster>);
+        let cluster = cluster.clone().map(|c| Box::new(c) as Box<dyn admin::handler::Cluster>);
         let keeper = file.is_some().then_some(keeper);
-        let desk =
-            Rc::new(Desk { phase: phase.clone(), maintenance, planner: own.clone(), keeper, cluster, clock });
+        let handler = Rc::new(CallHandler {
+            phase: phase.clone(),
+            maintenance,
+            planner: own.clone(),
+            state_saver: keeper,
+            cluster,
+            clock,
+        });
         let callers = ClientSlots::default();
         tokio::task::spawn_local(sweep(callers.clone(), clock));
-        tokio::task::spawn_local(admin::serve::accept(listen_soon(address).await?, desk, callers));
+        tokio::task::spawn_local(admin::serve::accept(listen_soon(address).await?, handler, callers));
         tracing::info!(address, "operators' calls");
     }
-    let _ = step(&phase, Transition::Started, clock.now());
+    let _ = change_phase(&phase, Transition::Started, clock.now());
     tracing::info!(name = config.name, listen = config.listen, inherited, beside, ?limits, "serving");
 
     let shutdown = Shutdown {
         planner: own,
         guard,
         phase,
-        loop_clock: pulse,
+        loop_clock,
         slots,
         nbd,
         accepting,
--- a/src/run/stop.rs
+++ b/src/run/stop.rs
@@ -7,8 +7,8 @@
 use crate::state::guard::Guard;
 use crate::state::phase::{grace, last_read, Phase, Transition};
 use crate::state::planner::Input;
-use crate::wire::admin::desk::step;
-use crate::wire::clock::Pulse;
+use crate::wire::admin::handler::change_phase;
+use crate::wire::clock::LoopClock;
 use crate::wire::resp::Resp;
 use std::cell::Cell;
 use std::path::PathBuf;
@@ -39,7 +39,7 @@
     /// The broker's phase.
     pub phase: Rc<watch::Sender<Phase>>,
     /// The time, and how late this process runs.
-    pub loop_clock: Pulse,
+    pub loop_clock: LoopClock,
     /// The clients.
     pub slots: ClientSlots,
     /// The NBD front, if there is one.
@@ -56,7 +56,7 @@
     /// Runs from the signal until everything is answered.
     pub async fn run(self) {
         // The signal may have come at the beginning of a stall: the kill counts from then.
-        let told = self.loop_clock.came();
+        let told = self.loop_clock.earliest_arrival();
         tracing::info!(clients = self.slots.len(), "stopping");
         self.begin(told).await;
         self.loop_clock.sleep_until(told + STILL_ACCEPTING).await;
@@ -133,5 +133,5 @@
 
 fn step_phase(phase: &watch::Sender<Phase>, what: Transition, at: Time) {
     // From stopping there is no way back, and none is asked for here.
-    let _ = step(phase, what, at);
+    let _ = change_phase(phase, what, at);
 }
--- a/src/run/voter.rs
+++ b/src/run/voter.rs
@@ -6,7 +6,7 @@
 use crate::interface::Time;
 use crate::state::membership::mix;
 use crate::wire::clock::Clock;
-use crate::wire::link::Limits;
+use crate::wire::link::SendDeadlines;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -22,7 +22,7 @@
         applied
     });
     let (lease, list) = (Rc::new(Cell::new(Time::MIN)), Cell::new(Time::MIN));
-    Hooks { apply, halt: Box::new(|_| {}), permit: Rc::new(Limits { lease, list }) }
+    Hooks { apply, halt: Box::new(|_| {}), permit: Rc::new(SendDeadlines { lease, list }) }
 }
 
 /// Takes part in the cluster until SIGTERM or SIGINT, then leaves it. Must run inside a [`tokio::task::LocalSet`].
--- a/src/wire/admin/desk.rs
+++ b/src/wire/admin/handler.rs
@@ -1,6 +1,6 @@
 //! Carries the operators' calls out and words their answers.
 
-use super::{Call, Wrong};
+use super::{Call, CallError};
 use crate::interface::{ListKind, Time};
 use crate::state::maintenance::{Maintenance, Refused};
 use crate::state::phase::{Phase, Transition};
@@ -16,7 +16,7 @@
 const SOON: Duration = Duration::from_millis(900);
 
 /// Asks that what is to outlive this process be written down; told when it is, and whether that worked.
-pub type Keep = oneshot::Sender<bool>;
+pub type SaveRequest = oneshot::Sender<bool>;
 
 /// What calls need of the cluster.
 pub trait Cluster {
@@ -27,7 +27,7 @@
 }
 
 /// What the calls act on.
-pub struct Desk<W: Wire> {
+pub struct CallHandler<W: Wire> {
     /// The broker's phase.
     pub phase: Rc<watch::Sender<Phase>>,
     /// The nodes that are out.
@@ -35,7 +35,7 @@
     /// The planner.
     pub planner: UnboundedSender<Input<W>>,
     /// Who writes down what is to outlive this process, if there is a place for it.
-    pub keeper: Option<UnboundedSender<Keep>>,
+    pub state_saver: Option<UnboundedSender<SaveRequest>>,
     /// The cluster, where there is one.
     pub cluster: Option<Box<dyn Cluster>>,
     /// The time.
@@ -43,7 +43,7 @@
 }
 
 /// Moves the broker's phase at a time; an error if there is no such way.
-pub fn step(phase: &watch::Sender<Phase>, what: Transition, at: Time) -> Result<(), String> {
+pub fn change_phase(phase: &watch::Sender<Phase>, what: Transition, at: Time) -> Result<(), String> {
     let before = *phase.borrow();
     let after = before.after(what, at).map_err(|e| e.to_string())?;
     if after != before {
@@ -53,21 +53,20 @@
     Ok(())
 }
 
-impl<W: Wire> Desk<W> {
+impl<W: Wire> CallHandler<W> {
     /// Carries a call out and gives the answer, a line without its end.
-    pub async fn take(&self, call: Result<Call, Wrong>) -> String {
-        let outcome = match &call {
-            Err(wrong) => Err(wrong.to_string()),
-            Ok(Call::Health) => self.health(),
-            Ok(Call::Node { name, out }) => self.node(name, *out).await,
-            Ok(Call::Leave) => {
-                step(&self.phase, Transition::Leave, self.clock.now()).map(|()| "leaving".to_string())
-            }
-            Ok(Call::Members) => self.members(),
-            Ok(Call::Join) => {
-                step(&self.phase, Transition::Join, self.clock.now()).map(|()| "serving".to_string())
-            }
-        };
+    pub async fn take(&self, call: Result<Call, CallError>) -> String {
+        let outcome =
+            match &call {
+                Err(wrong) => Err(wrong.to_string()),
+                Ok(Call::Health) => self.health(),
+                Ok(Call::Node { name, out }) => self.node(name, *out).await,
+                Ok(Call::Leave) => change_phase(&self.phase, Transition::Leave, self.clock.now())
+                    .map(|()| "leaving".to_string()),
+                Ok(Call::Members) => self.members(),
+                Ok(Call::Join) => change_phase(&self.phase, Transition::Join, self.clock.now())
+                    .map(|()| "serving".to_string()),
+            };
         match outcome {
             Ok(text) => format!("200 {text}"),
             Err(reason) => {
@@ -104,8 +103,8 @@
         }
         let told =
             self.maintenance.borrow_mut().set_out(self.clock.now(), name, out).map_err(|e| e.to_string())?;
-        let reached = tell(&self.planner, told);
-        let kept = self.keeper.as_ref().map(|keeper| {
+        let reached = notify_nodes(&self.planner, told);
+        let kept = self.state_saver.as_ref().map(|keeper| {
             let (keep, kept) = oneshot::channel();
             let _ = keeper.send(keep);
             kept
@@ -124,7 +123,10 @@
 }
 
 /// Tells the planner of nodes; done when the turn that took it is over.
-pub fn tell<W: Wire>(planner: &UnboundedSender<Input<W>>, told: Vec<ListedNode>) -> oneshot::Receiver<()> {
+pub fn notify_nodes<W: Wire>(
+    planner: &UnboundedSender<Input<W>>,
+    told: Vec<ListedNode>,
+) -> oneshot::Receiver<()> {
     let (reached, done) = oneshot::channel();
     if !told.is_empty() {
         let _ = planner.send(Input::Nodes(ListKind::Changes, told));
--- a/src/wire/admin/mod.rs
+++ b/src/wire/admin/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' line calls: one line a connection, one line back. Sans-I/O; [`desk`] carries a call out and
+//! The operators' line calls: one line a connection, one line back. Sans-I/O; [`handler`] carries a call out and
 //! [`serve`] does the reading and writing.
 
-pub mod desk;
+pub mod handler;
 pub mod serve;
 
 use bytes::BytesMut;
@@ -35,7 +35,7 @@
 
 /// Why a line is no call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Wrong {
+pub enum CallError {
     /// It does not end.
     #[error("line too long")]
     TooLong,
@@ -54,14 +54,14 @@
 }
 
 /// The one line of a caller, once it is whole. What comes after it is not looked at.
-pub fn take(read: &mut BytesMut, ended: bool) -> Option<Result<Call, Wrong>> {
+pub fn take(read: &mut BytesMut, ended: bool) -> Option<Result<Call, CallError>> {
     let end = read.iter().position(|b| *b == b'\n');
     match end {
         Some(end) if end < MOST_LINE => {
             let line = read.split_to(end + 1);
             Some(call(line.strip_suffix(b"\r\n").unwrap_or(&line[..end])))
         }
-        _ if read.len() >= MOST_LINE => Some(Err(Wrong::TooLong)),
+        _ if read.len() >= MOST_LINE => Some(Err(CallError::TooLong)),
         // A caller that ends its sending has ended its line.
         _ if ended && !read.is_empty() => Some(call(&read.split())),
         _ => None,
@@ -74,21 +74,21 @@
     terminated((word(), opt(preceded(space1, word()))), space0).parse_next(line)
 }
 
-fn call(line: &[u8]) -> Result<Call, Wrong> {
+fn call(line: &[u8]) -> Result<Call, CallError> {
     if !line.iter().all(|b| *b == b' ' || b.is_ascii_graphic()) {
-        return Err(Wrong::NotText);
+        return Err(CallError::NotText);
     }
-    let text = std::str::from_utf8(line).map_err(|_| Wrong::NotText)?;
+    let text = std::str::from_utf8(line).map_err(|_| CallError::NotText)?;
     let mut rest = text;
-    let (name, argument) = words.parse_next(&mut rest).map_err(|_| Wrong::Unknown)?;
+    let (name, argument) = words.parse_next(&mut rest).map_err(|_| CallError::Unknown)?;
     let plain = |call: Call| match argument {
         None => Ok(call),
-        Some(_) => Err(Wrong::TooMany),
+        Some(_) => Err(CallError::TooMany),
     };
     let node = |out: bool| match argument {
-        Some(_) if !rest.is_empty() => Err(Wrong::TooMany),
+        Some(_) if !rest.is_empty() => Err(CallError::TooMany),
         Some(name) => Ok(Call::Node { name: name.to_string(), out }),
-        None => Err(Wrong::NoId),
+        None => Err(CallError::NoId),
     };
     match name.to_ascii_uppercase().as_str() {
         "HEALTH" => plain(Call::Health),
@@ -97,7 +97,7 @@
         "LEAVE" => plain(Call::Leave),
         "JOIN" => plain(Call::Join),
         "MEMBERS" => plain(Call::Members),
-        _ => Err(Wrong::Unknown),
+        _ => Err(CallError::Unknown),
     }
 }
 
@@ -105,7 +105,7 @@
 mod tests {
     use super::*;
 
-    fn of(line: &[u8]) -> Option<Result<Call, Wrong>> {
+    fn of(line: &[u8]) -> Option<Result<Call, CallError>> {
         take(&mut BytesMut::from(line), false)
     }
 
@@ -123,16 +123,16 @@
         assert_eq!(of(b"OFFLINE s-5be2a07c\r\n"), Some(Ok(node("s-5be2a07c", true))));
         assert_eq!(of(b"ONLINE  s-5be2a07c\n"), Some(Ok(node("s-5be2a07c", false))));
         for (line, wrong) in [
-            (&b"OFFLINE\n"[..], Wrong::NoId),
-            (b"ONLINE \r\n", Wrong::NoId),
-            (b"OFFLINE a b\n", Wrong::TooMany),
-            (b"LEAVE now\n", Wrong::TooMany),
-            (b"HEALTHY\n", Wrong::Unknown),
-            (b"\n", Wrong::Unknown),
-            (b"  HEALTH\n", Wrong::Unknown),
-            (b"OFFLINE a\tb\n", Wrong::NotText),
-            (b"HEALTH\0\n", Wrong::NotText),
-            ("OFFLINE n\u{f6}\n".as_bytes(), Wrong::NotText),
+            (&b"OFFLINE\n"[..], CallError::NoId),
+            (b"ONLINE \r\n", CallError::NoId),
+            (b"OFFLINE a b\n", CallError::TooMany),
+            (b"LEAVE now\n", CallError::TooMany),
+            (b"HEALTHY\n", CallError::Unknown),
+            (b"\n", CallError::Unknown),
+            (b"  HEALTH\n", CallError::Unknown),
+            (b"OFFLINE a\tb\n", CallError::NotText),
+            (b"HEALTH\0\n", CallError::NotText),
+            ("OFFLINE n\u{f6}\n".as_bytes(), CallError::NotText),
         ] {
             assert_eq!(of(line), Some(Err(wrong)), "{line:?}");
         }
@@ -147,8 +147,8 @@
             read.extend_from_slice(&whole[cut..]);
             assert_eq!(take(&mut read, false), Some(Ok(node("s-5be2a07c", true))));
         }
-        assert_eq!(of(&[b'x'; MOST_LINE]), Some(Err(Wrong::TooLong)));
-        assert_eq!(of(&[&[b'x'; MOST_LINE][..], b"\n"].concat()), Some(Err(Wrong::TooLong)));
+        assert_eq!(of(&[b'x'; MOST_LINE]), Some(Err(CallError::TooLong)));
+        assert_eq!(of(&[&[b'x'; MOST_LINE][..], b"\n"].concat()), Some(Err(CallError::TooLong)));
         assert_eq!(take(&mut BytesMut::from(&b"HEALTH"[..]), true), Some(Ok(Call::Health)));
         assert_eq!(take(&mut BytesMut::new(), true), None);
     }
--- a/src/wire/admin/serve.rs
+++ b/src/wire/admin/serve.rs
@@ -1,11 +1,11 @@
 //! The operators' callers: the driver of one connection, and the taking of them.
 
-use super::desk::Desk;
+use super::handler::CallHandler;
 use crate::state::accept_queue::AcceptQueue;
 use crate::state::client_slots::{ClientSlot, ClientSlots, EvictReason};
 use crate::state::planner::Wire;
 use crate::wire::session::close;
-use crate::wire::socket::accepted_now;
+use crate::wire::socket::try_accept;
 use bytes::BytesMut;
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Callers at once. Descriptors are set aside for them.
-pub const MOST_CALLERS: usize = 16;
+pub const MAX_CONNECTIONS: usize = 16;
 /// How long a caller may take to finish its line.
 const PATIENCE: Duration = Duration::from_secs(5);
 /// How long it may take to read its answer.
@@ -22,16 +22,16 @@
 const FULL_RETRY: Duration = Duration::from_millis(2);
 
 /// Takes callers for good. Where all places are taken, the one that has finished no line for longest gives way.
-pub async fn accept<W: Wire>(listener: TcpListener, desk: Rc<Desk<W>>, slots: ClientSlots) {
+pub async fn accept<W: Wire>(listener: TcpListener, handler: Rc<CallHandler<W>>, slots: ClientSlots) {
     let mut queue = AcceptQueue::of_own_socket();
     loop {
-        while slots.len() >= MOST_CALLERS {
-            let now = desk.clock.now();
+        while slots.len() >= MAX_CONNECTIONS {
+            let now = handler.clock.now();
             queue.mark_waiting(now);
             while slots.evict_one(now, queue.pressure(now)) {}
             tokio::time::sleep(FULL_RETRY).await;
         }
-        let accepted = match accepted_now(&listener).await {
+        let accepted = match try_accept(&listener).await {
             Some(accepted) => accepted,
             None => {
                 queue.mark_empty();
@@ -39,7 +39,7 @@
             }
         };
         match accepted {
-            Ok(stream) => drop(tokio::task::spawn_local(serve(stream, desk.clone(), slots.take()))),
+            Ok(stream) => drop(tokio::task::spawn_local(serve(stream, handler.clone(), slots.take()))),
             Err(error) => {
                 tracing::warn!(%error, "cannot take a caller");
                 tokio::time::sleep(FULL_RETRY * 10).await;
@@ -49,8 +49,8 @@
 }
 
 /// Carries one caller: a line, an answer, the end.
-async fn serve<W: Wire>(mut stream: TcpStream, desk: Rc<Desk<W>>, slot: ClientSlot) {
-    let now = desk.clock.now();
+async fn serve<W: Wire>(mut stream: TcpStream, handler: Rc<CallHandler<W>>, slot: ClientSlot) {
+    let now = handler.clock.now();
     slot.set_evictable(Some((EvictReason::Silent, now)));
     slot.set_deadline(Some(now + PATIENCE.as_micros() as i64));
     let mut read = BytesMut::with_capacity(128);
@@ -71,7 +71,7 @@
     };
     slot.set_evictable(None);
     slot.set_deadline(None);
-    let answer = desk.take(call).await + "\r\n";
+    let answer = handler.take(call).await + "\r\n";
     let written = tokio::time::timeout(READING, stream.write_all(answer.as_bytes())).await;
     if matches!(written, Ok(Ok(()))) {
         close(stream).await;
--- a/src/wire/clock.rs
+++ b/src/wire/clock.rs
@@ -26,7 +26,7 @@
 
     /// How far the system's wall clock has moved away from this clock since it was set, in microseconds: it is stepped
     /// by whoever keeps the machine's time, and neither before nor after is sure to be right.
-    pub fn wall_step(&self) -> Time {
+    pub fn wall_clock_drift(&self) -> Time {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         unix.as_micros() as Time - self.now()
     }
@@ -37,7 +37,7 @@
     }
 }
 
-/// How often the pulse beats.
+/// How often the loop_clock beats.
 const BEAT: Time = 4_000;
 /// A beat this much late is a stall worth a line in the log.
 const STALL: Time = 20_000;
@@ -45,7 +45,7 @@
 /// Tells whether this process has been stalled. What is read after a stall may have come any time since its
 /// beginning, and its client counts from then.
 #[derive(Debug, Clone)]
-pub struct Pulse {
+pub struct LoopClock {
     clock: Clock,
     last: Rc<Cell<Time>>,
     /// The beat before a late one, until one is on time: what is read between may have come since then.
@@ -69,11 +69,11 @@
 /// for, and passed on.
 const GIVE_WAY: usize = 3;
 
-impl Pulse {
-    /// A pulse that has just beaten.
+impl LoopClock {
+    /// A loop_clock that has just beaten.
     pub fn new(clock: Clock) -> Self {
         let last = Rc::new(Cell::new(clock.now()));
-        Pulse { clock, last, backlog: Rc::default(), longest: Rc::default(), worst: Rc::default() }
+        LoopClock { clock, last, backlog: Rc::default(), longest: Rc::default(), worst: Rc::default() }
     }
 
     /// Beats for good.
@@ -116,7 +116,7 @@
     }
 
     /// How late this process has run at most in the last while, in microseconds.
-    pub fn lately(&self) -> Time {
+    pub fn recent_lag(&self) -> Time {
         let (worst, at) = self.worst.get();
         if self.clock.now() - at > 2 * LATELY {
             0
@@ -126,7 +126,7 @@
     }
 
     /// Takes note of what has just held up all else since `from`, for the log of stalls.
-    pub fn spent(&self, what: &'static str, from: Time) {
+    pub fn record_blocking(&self, what: &'static str, from: Time) {
         let took = self.clock.now() - from;
         if self.longest.get().is_none_or(|longest| longest.took < took) {
             self.longest.set(Some(Stretch { what, took }));
@@ -146,7 +146,7 @@
     }
 
     /// The earliest time at which something may have come that is read now.
-    pub fn came(&self) -> Time {
+    pub fn earliest_arrival(&self) -> Time {
         came(self.clock.now(), self.last.get(), self.backlog.get())
     }
 }
--- a/src/wire/discovery.rs
+++ b/src/wire/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery's protocol: HTTP/1.1 and JSON. Sans-I/O; [`super::watch`] does the reading and writing.
 
-use super::link::Broken;
+use super::link::ProtocolError;
 use crate::interface::{ListKind, NodeEntry, NodeId, NodeState, ShardId, Time};
 use crate::state::maintenance::NamedNode;
 use crate::state::planner::ListedNode;
@@ -151,7 +151,7 @@
 }
 
 /// A call for what is newer than a version, waiting up to `wait` milliseconds for it.
-pub fn watch_call(host: &str, revision: u64, wait_ms: Time) -> String {
+pub fn watch_request(host: &str, revision: u64, wait_ms: Time) -> String {
     format!(
         "GET /v1/servers?index={revision}&wait={wait_ms} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n"
     )
@@ -176,29 +176,31 @@
 
 /// Takes one whole response off the front of what was read; nothing while it is not whole. The flag tells
 /// whether the connection serves another call.
-pub fn decode(read: &mut BytesMut) -> Result<Option<(Response, bool)>, Broken> {
+pub fn decode(read: &mut BytesMut) -> Result<Option<(Response, bool)>, ProtocolError> {
     decode_as(read, false)
 }
 
 /// The response in what was read when discovery has closed the connection, which ends one that tells no length. Not for
 /// a connection that was reset: what is missing would pass for the end.
-pub fn decode_ended(read: &mut BytesMut) -> Result<Option<Response>, Broken> {
+pub fn decode_ended(read: &mut BytesMut) -> Result<Option<Response>, ProtocolError> {
     Ok(decode_as(read, true)?.map(|(response, _)| response))
 }
 
-fn decode_as(read: &mut BytesMut, ended: bool) -> Result<Option<(Response, bool)>, Broken> {
+fn decode_as(read: &mut BytesMut, ended: bool) -> Result<Option<(Response, bool)>, ProtocolError> {
     // Interim answers only say that the answer is still to come.
     while read.starts_with(b"HTTP/1.1 1") {
         match read.windows(4).position(|w| w == b"\r\n\r\n") {
             Some(end) => drop(read.split_to(end + 4)),
-            None if read.len() > MOST_HEAD => return Err(Broken("response head too long")),
+            None if read.len() > MOST_HEAD => return Err(ProtocolError("response head too long")),
             None => return Ok(None),
         }
     }
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut head = httparse::Response::new(&mut headers);
-    let start = match head.parse(read).map_err(|_| Broken("not HTTP/1.1"))? {
-        httparse::Status::Partial if read.len() > MOST_HEAD => return Err(Broken("response head too long")),
+    let start = match head.parse(read).map_err(|_| ProtocolError("not HTTP/1.1"))? {
+        httparse::Status::Partial if read.len() > MOST_HEAD => {
+            return Err(ProtocolError("response head too long"))
+        }
         httparse::Status::Partial => return Ok(None),
         httparse::Status::Complete(start) => start,
     };
@@ -212,14 +214,14 @@
     let body = match length {
         _ if chunked => Body::Chunked,
         Some(Some(length)) if length <= MOST_BODY => Body::Length(length),
-        Some(_) => return Err(Broken("bad content-length")),
+        Some(_) => return Err(ProtocolError("bad content-length")),
         // Of a call that failed the status is enough.
         None if status == 200 => Body::Rest,
         None => Body::Length(0),
     };
     let (response, end) = {
         let (text, end) = match body {
-            Body::Rest if read.len() > start + MOST_BODY => return Err(Broken("response too long")),
+            Body::Rest if read.len() > start + MOST_BODY => return Err(ProtocolError("response too long")),
             Body::Rest if !ended => return Ok(None),
             Body::Rest => (Cow::Borrowed(&read[start..]), read.len()),
             Body::Length(length) if read.len() < start + length => return Ok(None),
@@ -231,9 +233,11 @@
         };
         match status {
             200 => match serde_json::from_slice::<Listing>(&text) {
-                Ok(listing) if listing.is_doubled() => return Err(Broken("a list that names a node twice")),
+                Ok(listing) if listing.is_doubled() => {
+                    return Err(ProtocolError("a list that names a node twice"))
+                }
                 Ok(listing) => (Response::Listing(listing), end),
-                Err(_) => return Err(Broken("not a list of nodes")),
+                Err(_) => return Err(ProtocolError("not a list of nodes")),
             },
             status => (Response::Status(status), end),
         }
@@ -243,17 +247,17 @@
 }
 
 /// The text of a chunked body and how many bytes it took; nothing while it is not whole.
-fn chunks(body: &[u8]) -> Result<Option<(Vec<u8>, usize)>, Broken> {
+fn chunks(body: &[u8]) -> Result<Option<(Vec<u8>, usize)>, ProtocolError> {
     let (mut text, mut at) = (Vec::new(), 0);
     loop {
-        let size = httparse::parse_chunk_size(&body[at..]).map_err(|_| Broken("bad chunk size"))?;
+        let size = httparse::parse_chunk_size(&body[at..]).map_err(|_| ProtocolError("bad chunk size"))?;
         let httparse::Status::Complete((used, size)) = size else { return Ok(None) };
         let size = usize::try_from(size).ok().filter(|s| text.len() + s <= MOST_BODY);
-        let size = size.ok_or(Broken("response too long"))?;
+        let size = size.ok_or(ProtocolError("response too long"))?;
         at += used;
         let Some(chunk) = body.get(at..at + size + 2) else { return Ok(None) };
         if &chunk[size..] != b"\r\n" {
-            return Err(Broken("bad end of a chunk"));
+            return Err(ProtocolError("bad end of a chunk"));
         }
         text.extend_from_slice(&chunk[..size]);
         at += size + 2;
--- a/src/wire/link.rs
+++ b/src/wire/link.rs
@@ -6,8 +6,10 @@
 use crate::state::guard::{Denied, Guard};
 use crate::state::planner::{AttemptEnd, AttemptId, AttemptTimes, Input, LinkEnd, Wire};
 use crate::state::pool::LinkId;
-use crate::wire::clock::Pulse;
-use crate::wire::socket::{is_short_of_memory, not_up, passes, unread, NotUp, Unread as Lying, REST};
+use crate::wire::clock::LoopClock;
+use crate::wire::socket::{
+    connect_failure, is_short_of_memory, is_transient, unread, ConnectFailure, Unread as Lying, RETRY_DELAY,
+};
 use bytes::BytesMut;
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -24,24 +26,24 @@
 /// A peer broke the protocol; the text is for the log.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
-pub struct Broken(pub &'static str);
+pub struct ProtocolError(pub &'static str);
 
 /// A whole reply came while nothing was out.
-pub const UNASKED: Broken = Broken("a reply that nothing asked for");
+pub const UNSOLICITED_REPLY: ProtocolError = ProtocolError("a reply that nothing asked for");
 
 /// How long nothing may come of a reply that has begun: nodes stand still between replies, not within.
-pub const WHOLE: Time = 300_000;
+pub const REPLY_STALL_TIMEOUT: Time = 300_000;
 /// How often a long reply that comes in parts is told to come on.
 const COMING: Time = 100_000;
 
 /// Something to wait for that holds nothing of whoever waits.
-pub type Stir = Pin<Box<dyn Future<Output = ()>>>;
+pub type Wakeup = Pin<Box<dyn Future<Output = ()>>>;
 
 /// Wakes with the first of two, where there is any.
 pub fn either(
     a: Option<impl Future<Output = ()> + 'static>,
     b: Option<impl Future<Output = ()> + 'static>,
-) -> Option<Stir> {
+) -> Option<Wakeup> {
     match (a, b) {
         (Some(a), Some(b)) => Some(Box::pin(async move {
             tokio::select! {
@@ -56,20 +58,20 @@
 }
 
 /// Waits for it, or for good.
-pub async fn stir(stirred: Option<Stir>) {
-    match stirred {
-        Some(stirred) => stirred.await,
+pub async fn wait_for(wakeup: Option<Wakeup>) {
+    match wakeup {
+        Some(wakeup) => wakeup.await,
         None => std::future::pending().await,
     }
 }
 
 /// What becomes of a reply that is passed on while it comes.
 #[derive(Debug, PartialEq)]
-pub enum Flow<R> {
+pub enum ReplyProgress<R> {
     /// It has begun, and is the answer.
     Begun(AttemptId, AttemptEnd<R>),
     /// It has come to its end.
-    Free,
+    Complete,
 }
 
 /// An attempt that ended, and how.
@@ -82,56 +84,57 @@
     /// What is to be written.
     fn outbox(&mut self) -> &mut Outbox;
     /// Takes what was read and consumes what is whole of it.
-    fn receive(&mut self, read: &mut BytesMut, ended: &mut Vec<Ended<W::Reply>>) -> Result<(), Broken>;
+    fn receive(&mut self, read: &mut BytesMut, ended: &mut Vec<Ended<W::Reply>>)
+        -> Result<(), ProtocolError>;
     /// What has become of a reply that is passed on while it comes, once after each [`Exchange::receive`] that ended
     /// there: it is to be called again.
-    fn flow(&mut self) -> Option<Flow<W::Reply>> {
+    fn progress(&mut self) -> Option<ReplyProgress<W::Reply>> {
         None
     }
     /// Whether a further request can be taken now; until then it waits with the link.
-    fn takes(&self) -> bool {
+    fn can_send(&self) -> bool {
         true
     }
     /// Whether nothing is out, and whatever comes now would be taken for the reply to the next request.
-    fn rests(&self) -> bool {
+    fn is_idle(&self) -> bool {
         false
     }
     /// Moves on what waits elsewhere to be written; an error where it will never come.
-    fn fill(&mut self) -> Result<(), Broken> {
+    fn fill(&mut self) -> Result<(), ProtocolError> {
         Ok(())
     }
     /// Whether more should be read, with so many bytes unread.
-    fn listens(&self, _unread: usize) -> bool {
+    fn wants_read(&self, _unread: usize) -> bool {
         true
     }
     /// For how long the next bytes may be waited for, with so many unread.
-    fn patience(&self, unread: usize) -> Option<Time> {
-        (unread > 0).then_some(WHOLE)
+    fn read_timeout(&self, unread: usize) -> Option<Time> {
+        (unread > 0).then_some(REPLY_STALL_TIMEOUT)
     }
     /// Wakes when there is something to move on; nothing, if that is not waited for.
-    fn stirred(&self) -> Option<Stir> {
+    fn wakeup(&self) -> Option<Wakeup> {
         None
     }
     /// Takes back every request of which no byte has been written, and names it.
-    fn take_back(&mut self) -> Vec<AttemptId>;
+    fn cancel_unsent(&mut self) -> Vec<AttemptId>;
     /// The connection is over: how everything still out has ended.
-    fn lost(&mut self) -> Vec<Ended<W::Reply>>;
+    fn connection_lost(&mut self) -> Vec<Ended<W::Reply>>;
 }
 
-/// An order to a link.
-pub enum Order<W: Wire> {
+/// An command to a link.
+pub enum LinkCommand<W: Wire> {
     /// Send an attempt, within these times.
     Send(AttemptId, AttemptTimes, W::Request),
     /// Nobody wants an attempt any more: if it has not begun, it is to be given back.
     Withdraw(AttemptId),
     /// The node takes nothing more: what has not begun is to be given back.
-    Bar,
+    StopSending,
 }
 
 /// How an attempt ended whose request lies before `position` in what was to be written: one whose last
 /// byte never left this machine cannot have run.
-pub fn broken_at(outbox: &Outbox, position: u64) -> Ending {
-    match outbox.is_past(position) {
+pub fn ending_after_loss(outbox: &Outbox, position: u64) -> Ending {
+    match outbox.is_written(position) {
         true => Ending::Reset,
         false => Ending::Unreachable,
     }
@@ -139,7 +142,7 @@
 
 /// Until when what may be written to nodes.
 #[derive(Debug)]
-pub struct Limits {
+pub struct SendDeadlines {
     /// Anything: the end of this broker's lease, or for good where it needs none.
     pub lease: Rc<Cell<Time>>,
     /// The first byte of a request: as long as the list of nodes holds.
@@ -147,7 +150,7 @@
 }
 
 /// The same, as links and those who set it share it.
-pub type Permit = Rc<Limits>;
+pub type Permit = Rc<SendDeadlines>;
 
 /// Where a link connects to and whom it reports to.
 pub struct LinkTask<W: Wire, X> {
@@ -160,18 +163,18 @@
     /// The protocol.
     pub exchange: X,
     /// Orders; the link closes without a word when the sender is dropped.
-    pub orders: UnboundedReceiver<Order<W>>,
+    pub commands: UnboundedReceiver<LinkCommand<W>>,
     /// The planner.
     pub planner: UnboundedSender<Input<W>>,
     /// The time, and how late this process runs.
-    pub pulse: Pulse,
+    pub loop_clock: LoopClock,
     /// Room for replies that are not whole yet.
     pub budget: BufferBudget,
     /// Until when anything may be written.
     pub permit: Permit,
     /// Whom each attempt asks before it begins.
     pub guard: Guard,
-    /// Attempts that have not begun, in their order; each ends by being handed over when the connection can take it, by
+    /// Attempts that have not begun, in their command; each ends by being handed over when the connection can take it, by
     /// being given back, or with the link.
     pub queue: VecDeque<Waiting<W>>,
 }
@@ -215,16 +218,16 @@
                 let _ = self.planner.send(Input::LinkUp(self.id));
                 let Some(reason) = self.carry(stream).await else { return };
                 tracing::debug!(link = self.id, reason, "link ended");
-                match reason == UNASKED.0 {
+                match reason == UNSOLICITED_REPLY.0 {
                     true => LinkEnd::Repeated,
                     false => LinkEnd::Ended,
                 }
             }
         };
         // Orders that crossed the end were never written. A node that closes an idle connection is not out of reach.
-        self.orders.close();
-        while let Ok(order) = self.orders.try_recv() {
-            self.take(order);
+        self.commands.close();
+        while let Ok(command) = self.commands.try_recv() {
+            self.take(command);
         }
         let never = match down {
             LinkEnd::Never => Ending::Unreachable,
@@ -234,7 +237,7 @@
         for (tag, ..) in std::mem::take(&mut self.queue) {
             let _ = self.planner.send(Input::AttemptEnded(self.id, tag, AttemptEnd::without_reply(never)));
         }
-        for (tag, end) in self.exchange.lost() {
+        for (tag, end) in self.exchange.connection_lost() {
             let _ = self.planner.send(Input::AttemptEnded(self.id, tag, end));
         }
         let _ = self.planner.send(Input::LinkDown(self.id, down));
@@ -249,31 +252,31 @@
             tokio::select! {
                 connected = &mut connect => return Some(match connected {
                     Err(_) => Err((LinkEnd::Never, "timed out".to_string())),
-                    Ok(Err(e)) if not_up(&e) == NotUp::Here => Err((LinkEnd::Here, e.to_string())),
+                    Ok(Err(e)) if connect_failure(&e) == ConnectFailure::Local => Err((LinkEnd::Here, e.to_string())),
                     Ok(Err(e)) => Err((LinkEnd::Never, e.to_string())),
                     Ok(Ok(stream)) => {
                         let _ = stream.set_nodelay(true);
                         Ok(stream)
                     }
                 }),
-                order = self.orders.recv() => {
-                    let order = order?;
-                    self.take(order);
+                command = self.commands.recv() => {
+                    let command = command?;
+                    self.take(command);
                 }
             }
         }
     }
 
-    fn take(&mut self, order: Order<W>) {
-        match order {
-            Order::Send(tag, span, request) => self.queue.push_back((tag, span, request)),
-            Order::Withdraw(tag) => {
+    fn take(&mut self, command: LinkCommand<W>) {
+        match command {
+            LinkCommand::Send(tag, span, request) => self.queue.push_back((tag, span, request)),
+            LinkCommand::Withdraw(tag) => {
                 if let Some(place) = self.queue.iter().position(|(waiting, ..)| *waiting == tag) {
                     self.queue.remove(place);
                     self.never_sent(tag, NotSent::Withdrawn);
                 }
             }
-            Order::Bar => self.give_back(),
+            LinkCommand::StopSending => self.give_back(),
         }
     }
 
@@ -286,14 +289,14 @@
 
     /// Gives back what has not begun, as never sent.
     fn give_back(&mut self) {
-        let handed = self.exchange.take_back().into_iter();
+        let handed = self.exchange.cancel_unsent().into_iter();
         let waiting = std::mem::take(&mut self.queue).into_iter().map(|(tag, ..)| tag);
         handed.chain(waiting).for_each(|tag| self.never_sent(tag, NotSent::Barred));
     }
 
     /// Whether the next attempt can begin as soon as the socket takes bytes.
     fn could_begin(&mut self) -> bool {
-        !self.queue.is_empty() && self.exchange.takes() && self.exchange.outbox().is_empty()
+        !self.queue.is_empty() && self.exchange.can_send() && self.exchange.outbox().is_empty()
     }
 
     /// Hands over the next attempt that may begin at `now`. One whose time for that is over is given back.
@@ -318,8 +321,8 @@
                 return Some(e.to_string());
             }
             let waiting = !self.exchange.outbox().is_empty() || self.could_begin();
-            let listens = self.exchange.listens(unread_part.read.len());
-            let stirred = self.exchange.stirred();
+            let listens = self.exchange.wants_read(unread_part.read.len());
+            let wakeup = self.exchange.wakeup();
             tokio::select! {
                 // Reading comes first: a node that has closed is seen before a request is written to it.
                 biased;
@@ -332,25 +335,25 @@
                         Ok(0) => return Some("closed by the node".to_string()),
                         Ok(_) => {}
                         Err(e) if is_short_of_memory(&e) => {
-                            tokio::time::sleep(REST).await;
+                            tokio::time::sleep(RETRY_DELAY).await;
                             continue;
                         }
-                        Err(e) if passes(&e) => continue,
+                        Err(e) if is_transient(&e) => continue,
                         Err(e) => return Some(e.to_string()),
                     }
                     if let Err(reason) = self.receive(&mut unread_part) {
                         return Some(reason);
                     }
                 }
-                () = stir(stirred) => {
+                () = wait_for(wakeup) => {
                     if let Err(reason) = self.receive(&mut unread_part) {
                         return Some(reason);
                     }
                 }
-                // Then orders: what is withdrawn must not be written first.
-                order = self.orders.recv() => {
-                    let order = order?;
-                    self.take(order);
+                // Then commands: what is withdrawn must not be written first.
+                command = self.commands.recv() => {
+                    let command = command?;
+                    self.take(command);
                 }
                 ready = stream.writable(), if waiting => {
                     if let Err(e) = ready {
@@ -359,17 +362,17 @@
                     if self.could_begin() && !caught_up {
                         // A client may have gone while nobody read, and its request not be wanted any more.
                         caught_up = true;
-                        self.pulse.catch_up().await;
+                        self.loop_clock.catch_up().await;
                         continue;
                     }
                     caught_up = false;
-                    if self.could_begin() && self.exchange.rests() && unread(&stream) != Lying::Nothing {
+                    if self.could_begin() && self.exchange.is_idle() && unread(&stream) != Lying::Nothing {
                         // A second answer, or the node's end: nothing is begun behind it. It is read first.
                         tokio::task::yield_now().await;
                         continue;
                     }
                     // Here, and nowhere before: what is not handed to the socket has not been sent.
-                    let now = self.pulse.now();
+                    let now = self.loop_clock.now();
                     if now >= self.permit.lease.get() {
                         return Some("no lease".to_string());
                     }
@@ -386,8 +389,8 @@
                     }
                     match stream.try_write_vectored(&outbox.slices()) {
                         Ok(n) => outbox.wrote(n),
-                        Err(e) if is_short_of_memory(&e) => tokio::time::sleep(REST).await,
-                        Err(e) if passes(&e) => {}
+                        Err(e) if is_short_of_memory(&e) => tokio::time::sleep(RETRY_DELAY).await,
+                        Err(e) if is_transient(&e) => {}
                         Err(e) => return Some(e.to_string()),
                     }
                 }
@@ -403,9 +406,11 @@
             for (tag, end) in ended.drain(..) {
                 let _ = self.planner.send(Input::AttemptEnded(self.id, tag, end));
             }
-            match self.exchange.flow() {
-                Some(Flow::Begun(tag, end)) => drop(self.planner.send(Input::ReplyBegun(self.id, tag, end))),
-                Some(Flow::Free) => drop(self.planner.send(Input::ReplyFinished(self.id))),
+            match self.exchange.progress() {
+                Some(ReplyProgress::Begun(tag, end)) => {
+                    drop(self.planner.send(Input::ReplyBegun(self.id, tag, end)))
+                }
+                Some(ReplyProgress::Complete) => drop(self.planner.send(Input::ReplyFinished(self.id))),
                 None => {
                     if let Err(e) = result {
                         tracing::warn!(address = self.address, "node broke the protocol: {e}");
@@ -415,11 +420,11 @@
                 }
             }
         }
-        let (now, patience) = (self.pulse.now(), self.exchange.patience(unread.read.len()));
+        let (now, patience) = (self.loop_clock.now(), self.exchange.read_timeout(unread.read.len()));
         let told = unread.told.map(|(patience, _)| patience);
         let lately = unread.told.is_some_and(|(_, at)| now - at < COMING);
         // Of a short reply each part is told; of a long one, now and then.
-        if told != patience || (patience.is_some() && !(lately && patience > Some(WHOLE))) {
+        if told != patience || (patience.is_some() && !(lately && patience > Some(REPLY_STALL_TIMEOUT))) {
             unread.told = patience.map(|patience| (patience, now));
             let _ = self.planner.send(Input::PartialReply(self.id, patience));
         }
--- a/src/wire/nbd.rs
+++ b/src/wire/nbd.rs
@@ -16,7 +16,7 @@
 pub mod server;
 pub mod teller;
 
-use super::link::Broken;
+use super::link::ProtocolError;
 use crate::state::integrity::State;
 use crate::state::planner::Wire;
 use bytes::{BufMut, Bytes, BytesMut};
@@ -211,11 +211,11 @@
     read: &[u8],
     mut parser: impl FnMut(&mut Input) -> ModalResult<T>,
     wrong: &'static str,
-) -> Result<Option<T>, Broken> {
+) -> Result<Option<T>, ProtocolError> {
     match parser(&mut Partial::new(read)) {
         Ok(head) => Ok(Some(head)),
         Err(ErrMode::Incomplete(_)) => Ok(None),
-        Err(_) => Err(Broken(wrong)),
+        Err(_) => Err(ProtocolError(wrong)),
     }
 }
 
--- a/src/wire/nbd/client.rs
+++ b/src/wire/nbd/client.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::interface::{Ending, Time};
 use crate::state::planner::{AttemptEnd, AttemptId};
-use crate::wire::link::{broken_at, Ended, Exchange};
+use crate::wire::link::{ending_after_loss, Ended, Exchange};
 use crate::wire::outbox::Outbox;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -63,7 +63,11 @@
         }
     }
 
-    fn step(&mut self, read: &mut BytesMut, ended: &mut Vec<Ended<Vec<Part>>>) -> Result<bool, Broken> {
+    fn step(
+        &mut self,
+        read: &mut BytesMut,
+        ended: &mut Vec<Ended<Vec<Part>>>,
+    ) -> Result<bool, ProtocolError> {
         match self.phase {
             Phase::Greeting => self.greeting(read),
             Phase::Structured | Phase::Go => self.option_reply(read),
@@ -72,14 +76,14 @@
         }
     }
 
-    fn greeting(&mut self, read: &mut BytesMut) -> Result<bool, Broken> {
+    fn greeting(&mut self, read: &mut BytesMut) -> Result<bool, ProtocolError> {
         let greeting = |i: &mut Input| {
             (be_u64.verify(|m| *m == MAGIC), be_u64.verify(|m| *m == OPTION_MAGIC), be_u16).parse_next(i)
         };
         let Some((_, _, flags)) = head(read, greeting, "bad greeting")? else { return Ok(false) };
         let _ = read.split_to(18);
         if flags & FIXED_NEWSTYLE == 0 {
-            return Err(Broken("not fixed newstyle"));
+            return Err(ProtocolError("not fixed newstyle"));
         }
         self.no_zeroes = flags & NO_ZEROES != 0;
         let mut out = BytesMut::new();
@@ -90,11 +94,11 @@
         Ok(true)
     }
 
-    fn option_reply(&mut self, read: &mut BytesMut) -> Result<bool, Broken> {
+    fn option_reply(&mut self, read: &mut BytesMut) -> Result<bool, ProtocolError> {
         let wrong = "bad magic of an option reply";
         let Some((option, kind, length)) = head(read, option_reply_head, wrong)? else { return Ok(false) };
         if length > MOST_OPTION {
-            return Err(Broken("option reply too long"));
+            return Err(ProtocolError("option reply too long"));
         }
         let Some(data) = body(read, 20, length as usize) else { return Ok(false) };
         let mut out = BytesMut::new();
@@ -109,27 +113,29 @@
                 if kind == Some(INFO_EXPORT) {
                     let export = |i: &mut Input| (be_u16, be_u64, be_u16).parse_next(i);
                     let facts = head(&data, export, "short information")?;
-                    let (_, size, flags) = facts.ok_or(Broken("short information"))?;
+                    let (_, size, flags) = facts.ok_or(ProtocolError("short information"))?;
                     self.ready(size, flags)?;
                 }
             }
             // Only an export that was described can be used.
-            (Phase::Go, option::GO, reply::ACK) if self.size == 0 => return Err(Broken("no information")),
+            (Phase::Go, option::GO, reply::ACK) if self.size == 0 => {
+                return Err(ProtocolError("no information"))
+            }
             (Phase::Go, option::GO, reply::ACK) => self.begin(),
             (Phase::Go, option::GO, reply::UNSUPPORTED) => {
                 write_option(&mut out, option::EXPORT_NAME, self.export.as_bytes());
                 self.phase = Phase::ExportName;
             }
             (Phase::Go, option::GO, kind) if kind & reply::ERROR != 0 => {
-                return Err(Broken("export refused"))
+                return Err(ProtocolError("export refused"))
             }
-            _ => return Err(Broken("a reply to no option of ours")),
+            _ => return Err(ProtocolError("a reply to no option of ours")),
         }
         self.outbox.push(out);
         Ok(true)
     }
 
-    fn old_style(&mut self, read: &mut BytesMut) -> Result<bool, Broken> {
+    fn old_style(&mut self, read: &mut BytesMut) -> Result<bool, ProtocolError> {
         let export = |i: &mut Input| (be_u64, be_u16).parse_next(i);
         let Some((size, flags)) = head(read, export, "export")? else { return Ok(false) };
         let zeroes = if self.no_zeroes { 0 } else { 124 };
@@ -143,9 +149,9 @@
 
     /// Takes note of the export. Flushes go over any connection, so what other connections wrote must be
     /// covered by them.
-    fn ready(&mut self, size: u64, flags: u16) -> Result<(), Broken> {
+    fn ready(&mut self, size: u64, flags: u16) -> Result<(), ProtocolError> {
         if flags & (READ_ONLY | CAN_MULTI_CONN) == 0 {
-            return Err(Broken("export takes writes, but a flush would not cover other connections"));
+            return Err(ProtocolError("export takes writes, but a flush would not cover other connections"));
         }
         self.size = size;
         Ok(())
@@ -183,21 +189,29 @@
         self.out.insert(cookie, out);
     }
 
-    fn reply(&mut self, read: &mut BytesMut, ended: &mut Vec<Ended<Vec<Part>>>) -> Result<bool, Broken> {
+    fn reply(
+        &mut self,
+        read: &mut BytesMut,
+        ended: &mut Vec<Ended<Vec<Part>>>,
+    ) -> Result<bool, ProtocolError> {
         let Some(magic) = head(read, |i| be_u32.parse_next(i), "magic")? else { return Ok(false) };
         match magic {
             SIMPLE_MAGIC => self.simple(read, ended),
             CHUNK_MAGIC if self.structured => self.chunk(read, ended),
-            _ => Err(Broken("bad reply magic")),
+            _ => Err(ProtocolError("bad reply magic")),
         }
     }
 
-    fn simple(&mut self, read: &mut BytesMut, ended: &mut Vec<Ended<Vec<Part>>>) -> Result<bool, Broken> {
+    fn simple(
+        &mut self,
+        read: &mut BytesMut,
+        ended: &mut Vec<Ended<Vec<Part>>>,
+    ) -> Result<bool, ProtocolError> {
         let parse = |i: &mut Input| (be_u32, be_u32, be_u64).parse_next(i);
         let Some((_, errno, cookie)) = head(read, parse, "reply")? else { return Ok(false) };
-        let out = self.out.get(&cookie).ok_or(Broken("a reply that nothing asked for"))?;
+        let out = self.out.get(&cookie).ok_or(ProtocolError("a reply that nothing asked for"))?;
         if errno == 0 && self.structured && out.expects > 0 {
-            return Err(Broken("a simple reply to a read"));
+            return Err(ProtocolError("a simple reply to a read"));
         }
         let length = if errno == 0 { out.expects as usize } else { 0 };
         let Some(data) = body(read, 16, length) else { return Ok(false) };
@@ -212,14 +226,18 @@
         Ok(true)
     }
 
-    fn chunk(&mut self, read: &mut BytesMut, ended: &mut Vec<Ended<Vec<Part>>>) -> Result<bool, Broken> {
+    fn chunk(
+        &mut self,
+        read: &mut BytesMut,
+        ended: &mut Vec<Ended<Vec<Part>>>,
+    ) -> Result<bool, ProtocolError> {
         let parse = |i: &mut Input| (be_u32, be_u16, be_u16, be_u64, be_u32).parse_next(i);
         let Some((_, flags, kind, cookie, length)) = head(read, parse, "chunk")? else { return Ok(false) };
         if length > MOST_LENGTH + MOST_EXTRA {
-            return Err(Broken("chunk too long"));
+            return Err(ProtocolError("chunk too long"));
         }
         if !self.out.contains_key(&cookie) {
-            return Err(Broken("a chunk that nothing asked for"));
+            return Err(ProtocolError("a chunk that nothing asked for"));
         }
         let Some(data) = body(read, 20, length as usize) else { return Ok(false) };
         let Some(out) = self.out.get_mut(&cookie) else { return Ok(false) };
@@ -227,12 +245,12 @@
             chunk::NONE => {}
             chunk::DATA => {
                 let at = head(&data, |i| be_u64.parse_next(i), "short chunk")?;
-                let at = at.ok_or(Broken("short chunk"))?;
+                let at = at.ok_or(ProtocolError("short chunk"))?;
                 take_part(out, Part::Data(at, data.slice(8..)))?;
             }
             chunk::HOLE => {
                 let hole = head(&data, |i| (be_u64, be_u32).parse_next(i), "short chunk")?;
-                let (at, length) = hole.ok_or(Broken("short chunk"))?;
+                let (at, length) = hole.ok_or(ProtocolError("short chunk"))?;
                 take_part(out, Part::Hole(at, length))?;
             }
             kind if kind & chunk::ERROR_BIT != 0 => {
@@ -241,11 +259,11 @@
                     let text = winnow::token::take(length).parse_next(i)?;
                     Ok((errno, text == b"BUSY" || text.starts_with(b"BUSY ")))
                 };
-                let (errno, busy) = head(&data, error, "short chunk")?.ok_or(Broken("short chunk"))?;
+                let (errno, busy) = head(&data, error, "short chunk")?.ok_or(ProtocolError("short chunk"))?;
                 let never_ran = errno == errno::NOMEM && busy && out.parts.is_empty();
                 out.error = Some(if never_ran { Ending::Full } else { Ending::Error });
             }
-            _ => return Err(Broken("unknown chunk")),
+            _ => return Err(ProtocolError("unknown chunk")),
         }
         if flags & chunk::DONE != 0 {
             if let Some(out) = self.out.remove(&cookie) {
@@ -257,18 +275,18 @@
 }
 
 /// Takes a part of what was read: inside what was asked for, and nothing twice.
-fn take_part(out: &mut Out, part: Part) -> Result<(), Broken> {
+fn take_part(out: &mut Out, part: Part) -> Result<(), ProtocolError> {
     let (at, length) = part.span();
     let (from, to) = (out.offset, out.offset + out.expects);
-    let end = at.checked_add(length).ok_or(Broken("a chunk outside of what was asked for"))?;
+    let end = at.checked_add(length).ok_or(ProtocolError("a chunk outside of what was asked for"))?;
     if length == 0 || at < from || end > to {
-        return Err(Broken("a chunk outside of what was asked for"));
+        return Err(ProtocolError("a chunk outside of what was asked for"));
     }
     let place = out.parts.partition_point(|p| p.span().0 < at);
     let before = place.checked_sub(1).map(|i| out.parts[i].span());
     let after = out.parts.get(place).map(|p| p.span().0);
     if before.is_some_and(|(a, l)| a + l > at) || after.is_some_and(|a| a < end) {
-        return Err(Broken("chunks overlap"));
+        return Err(ProtocolError("chunks overlap"));
     }
     out.got += length;
     out.parts.insert(place, part);
@@ -294,7 +312,7 @@
         }
     }
 
-    fn takes(&self) -> bool {
+    fn can_send(&self) -> bool {
         matches!(self.phase, Phase::Ready)
     }
 
@@ -302,28 +320,34 @@
         &mut self.outbox
     }
 
-    fn receive(&mut self, read: &mut BytesMut, ended: &mut Vec<Ended<Vec<Part>>>) -> Result<(), Broken> {
+    fn receive(
+        &mut self,
+        read: &mut BytesMut,
+        ended: &mut Vec<Ended<Vec<Part>>>,
+    ) -> Result<(), ProtocolError> {
         while self.step(read, ended)? {}
         Ok(())
     }
 
-    fn take_back(&mut self) -> Vec<AttemptId> {
+    fn cancel_unsent(&mut self) -> Vec<AttemptId> {
         let waiting: Vec<AttemptId> = self.waiting.drain(..).map(|(tag, _)| tag).collect();
         // Cookies are in the order of the writes.
         let begun = |out: &Out| self.outbox.has_begun(out.start);
         let first = self.out.iter().find(|(_, out)| !begun(out)).map_or(u64::MAX, |(cookie, _)| *cookie);
         let back = self.out.split_off(&first);
         if let Some(first) = back.values().next() {
-            self.outbox.cut(first.start);
+            self.outbox.truncate(first.start);
         }
         back.into_values().map(|out| out.tag).chain(waiting).collect()
     }
 
-    fn lost(&mut self) -> Vec<Ended<Vec<Part>>> {
+    fn connection_lost(&mut self) -> Vec<Ended<Vec<Part>>> {
         let waiting = std::mem::take(&mut self.waiting).into_iter();
         let never = waiting.map(|(tag, _)| (tag, AttemptEnd::without_reply(Ending::Unreachable)));
         let out = std::mem::take(&mut self.out).into_values();
         let outbox = &self.outbox;
-        never.chain(out.map(|o| (o.tag, AttemptEnd::without_reply(broken_at(outbox, o.end))))).collect()
+        never
+            .chain(out.map(|o| (o.tag, AttemptEnd::without_reply(ending_after_loss(outbox, o.end)))))
+            .collect()
     }
 }
--- a/src/wire/nbd/server.rs
+++ b/src/wire/nbd/server.rs
@@ -167,7 +167,7 @@
         now: Time,
         read: &mut BytesMut,
         asks: &mut Vec<(Arrival, Request)>,
-    ) -> Result<bool, Broken> {
+    ) -> Result<bool, ProtocolError> {
         if self.skip > 0 {
             let gone = self.skip.min(read.len() as u64);
             let _ = read.split_to(gone as usize);
@@ -179,7 +179,7 @@
                 let Some(flags) = head(read, |i| be_u32.parse_next(i), "flags")? else { return Ok(false) };
                 let _ = read.split_to(4);
                 if flags & !u32::from(FIXED_NEWSTYLE | NO_ZEROES) != 0 {
-                    return Err(Broken("unknown client flags"));
+                    return Err(ProtocolError("unknown client flags"));
                 }
                 self.no_zeroes = flags & u32::from(NO_ZEROES) != 0;
                 self.phase = Phase::Options;
@@ -191,11 +191,11 @@
         }
     }
 
-    fn option(&mut self, read: &mut BytesMut) -> Result<bool, Broken> {
+    fn option(&mut self, read: &mut BytesMut) -> Result<bool, ProtocolError> {
         let Some((option, length)) = head(read, option_head, "bad option magic")? else { return Ok(false) };
         if length > MOST_OPTION {
             if option == option::EXPORT_NAME || length > MOST_SKIPPED {
-                return Err(Broken("option too long"));
+                return Err(ProtocolError("option too long"));
             }
             let _ = read.split_to(16);
             self.skip = u64::from(length);
@@ -231,11 +231,11 @@
         Ok(true)
     }
 
-    fn export_name(&mut self, name: &[u8]) -> Result<(), Broken> {
+    fn export_name(&mut self, name: &[u8]) -> Result<(), ProtocolError> {
         let exports = self.exports.borrow().clone();
         // This option has no error reply: the spec asks for a close.
-        let place = exports.find(name).ok_or(Broken("unknown export"))?;
-        let export = exports.get(place).ok_or(Broken("unknown export"))?;
+        let place = exports.find(name).ok_or(ProtocolError("unknown export"))?;
+        let export = exports.get(place).ok_or(ProtocolError("unknown export"))?;
         let mut out = BytesMut::new();
         out.put_u64(export.size);
         out.put_u16(flags(export));
@@ -344,7 +344,7 @@
         place: u32,
         read: &mut BytesMut,
         asks: &mut Vec<(Arrival, Request)>,
-    ) -> Result<bool, Broken> {
+    ) -> Result<bool, ProtocolError> {
         let Some(ask) = head(read, request_head, "bad request magic")? else { return Ok(false) };
         let exports = self.exports.borrow().clone();
         let contexts = self.contexts_of(place);
@@ -358,7 +358,7 @@
             let _ = read.split_to(REQUEST_HEAD);
             if ask.command == command::WRITE {
                 if ask.length > MOST_SKIPPED {
-                    return Err(Broken("write too long"));
+                    return Err(ProtocolError("write too long"));
                 }
                 self.skip = u64::from(ask.length);
             }
--- a/src/wire/nbd/teller.rs
+++ b/src/wire/nbd/teller.rs
@@ -21,7 +21,7 @@
 pub enum TellerError {
     /// It is no NBD server, or broke the protocol.
     #[error(transparent)]
-    Broken(#[from] Broken),
+    Protocol(#[from] ProtocolError),
     /// It refused an option.
     #[error("the export is not served, or an option is refused")]
     Refused,
@@ -126,7 +126,7 @@
             return Ok(());
         };
         if length > MOST_OPTION {
-            return Err(Broken("option reply too long").into());
+            return Err(ProtocolError("option reply too long").into());
         }
         let Some(data) = body(&mut self.read, 20, length as usize) else { return Ok(()) };
         match (option, kind) {
@@ -171,7 +171,7 @@
             return Ok(false);
         };
         if length > MOST_LENGTH {
-            return Err(Broken("chunk too long").into());
+            return Err(ProtocolError("chunk too long").into());
         }
         let Some(data) = body(&mut self.read, 20, length as usize) else { return Ok(false) };
         let mut refused = false;
@@ -182,7 +182,7 @@
                     let number = |b: &[u8]| b.iter().fold(0, |n, b| n << 8 | u32::from(*b));
                     let length = u64::from(number(length));
                     if length == 0 || length > self.size - self.at {
-                        return Err(Broken("an extent outside of the export").into());
+                        return Err(ProtocolError("an extent outside of the export").into());
                     }
                     found.push(Extent { offset: self.at, length, status: number(status) });
                     self.at += length;
@@ -195,7 +195,7 @@
                 }
                 refused = true;
             }
-            _ => return Err(Broken("unexpected chunk").into()),
+            _ => return Err(ProtocolError("unexpected chunk").into()),
         }
         if flags & chunk::DONE != 0 {
             self.ask();
--- a/src/wire/outbox.rs
+++ b/src/wire/outbox.rs
@@ -26,13 +26,13 @@
         }
     }
 
-    /// Position behind the last byte queued: what is queued now is out once [`Outbox::is_past`] says so.
+    /// Position behind the last byte queued: what is queued now is out once [`Outbox::is_written`] says so.
     pub fn end(&self) -> u64 {
         self.queued
     }
 
     /// Whether everything before a position has been written.
-    pub fn is_past(&self, position: u64) -> bool {
+    pub fn is_written(&self, position: u64) -> bool {
         self.written >= position
     }
 
@@ -42,7 +42,7 @@
     }
 
     /// Takes back what was queued from a position on, of which nothing may have been written.
-    pub fn cut(&mut self, start: u64) {
+    pub fn truncate(&mut self, start: u64) {
         debug_assert!(!self.has_begun(start));
         while self.queued > start.max(self.written) {
             let Some(last) = self.chunks.pop_back() else { return };
@@ -92,16 +92,16 @@
         let first = outbox.end();
         outbox.push(&b"next"[..]);
         outbox.wrote(7);
-        assert!(!outbox.is_past(first) && outbox.len() == 5);
+        assert!(!outbox.is_written(first) && outbox.len() == 5);
         assert_eq!(outbox.slices().iter().map(|s| s.len()).collect::<Vec<_>>(), [1, 4]);
         outbox.wrote(1);
-        assert!(outbox.is_past(first) && !outbox.is_empty());
+        assert!(outbox.is_written(first) && !outbox.is_empty());
         outbox.push(&b"last"[..]);
         let begun = outbox.end();
         outbox.push(&b"never"[..]);
         outbox.push(&b"sent"[..]);
         assert!(!outbox.has_begun(begun) && !outbox.has_begun(first));
-        outbox.cut(begun);
+        outbox.truncate(begun);
         assert_eq!((outbox.end(), outbox.len()), (begun, 8), "whole chunks behind a position go");
         outbox.wrote(8);
         assert!(outbox.is_empty() && outbox.has_begun(first));
--- a/src/wire/resp.rs
+++ b/src/wire/resp.rs
@@ -4,7 +4,7 @@
 pub mod client;
 pub mod server;
 
-use super::link::Broken;
+use super::link::ProtocolError;
 use super::outbox::Outbox;
 use crate::interface::Time;
 use crate::state::pipe::PipeReader;
@@ -128,13 +128,13 @@
 }
 
 /// Takes one whole value of a node off the front of what was read; nothing while it is not whole.
-pub fn decode(read: &mut BytesMut) -> Result<Option<Value>, Broken> {
+pub fn decode(read: &mut BytesMut) -> Result<Option<Value>, ProtocolError> {
     take_whole(MOST_WHOLE, read, |input| value(MOST_WHOLE, 0, input))
 }
 
 /// The same of a client's command: whatever does not begin as an array is noise, and its end is not waited
 /// for.
-pub fn decode_command(read: &mut BytesMut) -> Result<Option<Value>, Broken> {
+pub fn decode_command(read: &mut BytesMut) -> Result<Option<Value>, ProtocolError> {
     let command = |input: &mut Input| array(MOST_WHOLE, 0, input);
     take_whole(MOST_WHOLE, read, |input| preceded(b'*', command).parse_next(input))
 }
@@ -156,7 +156,7 @@
 }
 
 /// Takes what follows a long value: so many further items.
-pub fn decode_rest(items: usize, read: &mut BytesMut) -> Result<Option<Value>, Broken> {
+pub fn decode_rest(items: usize, read: &mut BytesMut) -> Result<Option<Value>, ProtocolError> {
     take_whole(MOST_LINE, read, |input| {
         "\r\n".parse_next(input)?;
         let rest = (0..items).map(|_| value(MOST_LINE, 1, input)).collect::<ModalResult<_>>()?;
@@ -181,7 +181,7 @@
     most: usize,
     read: &mut BytesMut,
     mut parser: impl FnMut(&mut Input) -> ModalResult<Placed>,
-) -> Result<Option<Value>, Broken> {
+) -> Result<Option<Value>, ProtocolError> {
     let mut input = Partial::new(LocatingSlice::new(&read[..]));
     match parser(&mut input) {
         Ok(placed) => {
@@ -190,8 +190,8 @@
             Ok(Some(placed.cut(&frame)))
         }
         Err(ErrMode::Incomplete(_)) if read.len() <= most + MOST_BESIDE => Ok(None),
-        Err(ErrMode::Incomplete(_)) => Err(Broken("message too long")),
-        Err(_) => Err(Broken("not RESP2")),
+        Err(ErrMode::Incomplete(_)) => Err(ProtocolError("message too long")),
+        Err(_) => Err(ProtocolError("not RESP2")),
     }
 }
 
--- a/src/wire/resp/client.rs
+++ b/src/wire/resp/client.rs
@@ -5,7 +5,9 @@
 use crate::state::buffer_budget::BufferBudget;
 use crate::state::pipe::{pipe, PipeWriter, Progress, WINDOW};
 use crate::state::planner::{AttemptEnd, AttemptId};
-use crate::wire::link::{broken_at, either, Ended, Exchange, Flow, Stir, UNASKED, WHOLE};
+use crate::wire::link::{
+    either, ending_after_loss, Ended, Exchange, ReplyProgress, Wakeup, REPLY_STALL_TIMEOUT, UNSOLICITED_REPLY,
+};
 use std::collections::VecDeque;
 
 /// How long nothing may come of a long reply while its client reads on.
@@ -23,7 +25,7 @@
     sending: Option<PipeReader>,
     /// A long reply on its way.
     passing: Option<Passing>,
-    flow: Option<Flow<Reply>>,
+    flow: Option<ReplyProgress<Reply>>,
     budget: BufferBudget,
 }
 
@@ -51,7 +53,7 @@
     fields(text)?.iter().find_map(find).filter(|v: &f64| v.is_finite())
 }
 
-fn ending_of(value: Value) -> Result<AttemptEnd<Reply>, Broken> {
+fn ending_of(value: Value) -> Result<AttemptEnd<Reply>, ProtocolError> {
     match value {
         Value::Array(Some(items)) => {
             let mut texts = items.into_iter().map(|i| if let Value::Bulk(text) = i { text } else { None });
@@ -70,7 +72,7 @@
             let ending = if busy { Ending::Full } else { Ending::Error };
             Ok(AttemptEnd { ending, reply: None, volume_use, served_elsewhere, util: None })
         }
-        _ => Err(Broken("not a reply to a request")),
+        _ => Err(ProtocolError("not a reply to a request")),
     }
 }
 
@@ -81,11 +83,11 @@
     }
 
     /// Passes on what has come of a long reply; true when it has come to its end.
-    fn pass(&mut self, read: &mut BytesMut) -> Result<bool, Broken> {
+    fn pass(&mut self, read: &mut BytesMut) -> Result<bool, ProtocolError> {
         let Some(passing) = &mut self.passing else { return Ok(false) };
         if passing.giver.is_abandoned() {
             // Its client is gone. Nothing else can be had of this connection before all of it has come.
-            return Err(Broken("nobody reads on"));
+            return Err(ProtocolError("nobody reads on"));
         }
         let n = passing.left.min(read.len()).min(passing.giver.space());
         passing.giver.put(read.split_to(n).freeze());
@@ -108,11 +110,11 @@
         self.out.push_back((tag, start, end));
     }
 
-    fn takes(&self) -> bool {
+    fn can_send(&self) -> bool {
         self.sending.is_none()
     }
 
-    fn rests(&self) -> bool {
+    fn is_idle(&self) -> bool {
         self.out.is_empty() && self.passing.is_none()
     }
 
@@ -120,47 +122,49 @@
         &mut self.outbox
     }
 
-    fn receive(&mut self, read: &mut BytesMut, ended: &mut Vec<Ended<Reply>>) -> Result<(), Broken> {
+    fn receive(&mut self, read: &mut BytesMut, ended: &mut Vec<Ended<Reply>>) -> Result<(), ProtocolError> {
         loop {
             if self.passing.is_some() {
                 if self.pass(read)? {
-                    self.flow = Some(Flow::Free);
+                    self.flow = Some(ReplyProgress::Complete);
                 }
                 return Ok(());
             }
             if let Some((items, left)) = decode_long(read) {
-                let (tag, _, sent) = self.out.pop_front().ok_or(UNASKED)?;
+                let (tag, _, sent) = self.out.pop_front().ok_or(UNSOLICITED_REPLY)?;
                 if sent == NOWHERE {
-                    return Err(Broken("a reply before the request was whole"));
+                    return Err(ProtocolError("a reply before the request was whole"));
                 }
                 let (giver, taker) = pipe(&self.budget, MOST_VALUE);
                 self.passing = Some(Passing { giver, left, items: items - 1 });
                 let reply = Some(Reply::Streamed(taker, left));
-                self.flow =
-                    Some(Flow::Begun(tag, AttemptEnd { reply, ..AttemptEnd::without_reply(Ending::Served) }));
+                self.flow = Some(ReplyProgress::Begun(
+                    tag,
+                    AttemptEnd { reply, ..AttemptEnd::without_reply(Ending::Served) },
+                ));
                 return Ok(());
             }
             let Some(value) = decode(read)? else {
                 // Not even the beginning of a reply may come before a request: the next reply would be taken for its rest.
                 let unasked = self.out.is_empty() && !read.is_empty();
-                return if unasked { Err(Broken("bytes that nothing asked for")) } else { Ok(()) };
+                return if unasked { Err(ProtocolError("bytes that nothing asked for")) } else { Ok(()) };
             };
             let end = ending_of(value)?;
-            let (tag, _, sent) = self.out.pop_front().ok_or(UNASKED)?;
+            let (tag, _, sent) = self.out.pop_front().ok_or(UNSOLICITED_REPLY)?;
             ended.push((tag, end));
             if sent == NOWHERE {
                 // What is left of the body would be taken for the next command.
                 self.sending = None;
-                return Err(Broken("a reply before the request was whole"));
+                return Err(ProtocolError("a reply before the request was whole"));
             }
         }
     }
 
-    fn flow(&mut self) -> Option<Flow<Reply>> {
+    fn progress(&mut self) -> Option<ReplyProgress<Reply>> {
         self.flow.take()
     }
 
-    fn fill(&mut self) -> Result<(), Broken> {
+    fn fill(&mut self) -> Result<(), ProtocolError> {
         while let Some(taker) = &self.sending {
             if self.outbox.len() >= WINDOW as u64 {
                 return Ok(());
@@ -168,7 +172,7 @@
             match (taker.take(), taker.progress()) {
                 (Some(bytes), _) => self.outbox.push(bytes),
                 (None, Progress::Ongoing) => return Ok(()),
-                (None, Progress::Broken) => return Err(Broken("the rest of a body will not come")),
+                (None, Progress::Broken) => return Err(ProtocolError("the rest of a body will not come")),
                 (None, Progress::Complete) => {
                     self.outbox.push(&b"\r\n"[..]);
                     if let Some(last) = self.out.back_mut() {
@@ -181,18 +185,18 @@
         Ok(())
     }
 
-    fn listens(&self, unread: usize) -> bool {
+    fn wants_read(&self, unread: usize) -> bool {
         self.passing.as_ref().is_none_or(|p| p.left <= unread || p.giver.space() > unread)
     }
 
-    fn patience(&self, unread: usize) -> Option<Time> {
+    fn read_timeout(&self, unread: usize) -> Option<Time> {
         match &self.passing {
-            Some(_) => self.listens(unread).then_some(LONG),
-            None => (unread > 0).then_some(WHOLE),
+            Some(_) => self.wants_read(unread).then_some(LONG),
+            None => (unread > 0).then_some(REPLY_STALL_TIMEOUT),
         }
     }
 
-    fn stirred(&self) -> Option<Stir> {
+    fn wakeup(&self) -> Option<Wakeup> {
         let put = self
             .sending
             .as_ref()
@@ -202,22 +206,22 @@
         either(put, taken)
     }
 
-    fn take_back(&mut self) -> Vec<AttemptId> {
+    fn cancel_unsent(&mut self) -> Vec<AttemptId> {
         let begun = self.out.iter().take_while(|(_, start, _)| self.outbox.has_begun(*start)).count();
         let back: Vec<(AttemptId, u64, u64)> = self.out.drain(begun..).collect();
         if let Some((_, start, _)) = back.first() {
-            self.outbox.cut(*start);
+            self.outbox.truncate(*start);
             // A body on its way belongs to the last of what was out.
             self.sending = None;
         }
         back.into_iter().map(|(tag, ..)| tag).collect()
     }
 
-    fn lost(&mut self) -> Vec<Ended<Reply>> {
+    fn connection_lost(&mut self) -> Vec<Ended<Reply>> {
         let outbox = &self.outbox;
         self.out
             .drain(..)
-            .map(|(tag, _, at)| (tag, AttemptEnd::without_reply(broken_at(outbox, at))))
+            .map(|(tag, _, at)| (tag, AttemptEnd::without_reply(ending_after_loss(outbox, at))))
             .collect()
     }
 }
--- a/src/wire/resp/server.rs
+++ b/src/wire/resp/server.rs
@@ -7,7 +7,7 @@
 use crate::state::pipe::{pipe, PipeWriter, Progress, WINDOW};
 use crate::state::planner::Answer;
 use crate::state::stable_index::Indexed;
-use crate::wire::link::{either, Stir};
+use crate::wire::link::{either, Wakeup};
 use crate::wire::session::{RequestIds, Session};
 use std::cell::RefCell;
 use std::collections::{BTreeSet, VecDeque};
@@ -556,7 +556,7 @@
         self.flush();
     }
 
-    fn wakeup(&self) -> Option<Stir> {
+    fn wakeup(&self) -> Option<Wakeup> {
         let put = match self.slots.front() {
             Some(Slot::Long(taker)) if self.outbox.len() < MOST_AHEAD => Some(taker.wait_for_bytes()),
             Some(Slot::Gathered(gathered)) => Some(gathered.taker.wait_for_bytes()),
--- a/src/wire/session.rs
+++ b/src/wire/session.rs
@@ -1,7 +1,7 @@
 //! Drives one client connection, independent of the protocol spoken on it. The driver reads and parses commands, passes
 //! requests to the planner and writes answers; the planner decides where and when a request is sent.
 
-use super::link::{stir, Stir};
+use super::link::{wait_for, Wakeup};
 use super::outbox::Outbox;
 use crate::interface::Time;
 use crate::interface::{Arrival, RequestId};
@@ -10,8 +10,8 @@
 use crate::state::guard::{CloseReason, Guard};
 use crate::state::phase::Phase;
 use crate::state::planner::{Answer, AnswerSender, ClientRequest, Input, Wire};
-use crate::wire::clock::Pulse;
-use crate::wire::socket::{is_short_of_memory, passes, unread, Unread, REST};
+use crate::wire::clock::LoopClock;
+use crate::wire::socket::{is_short_of_memory, is_transient, unread, Unread, RETRY_DELAY};
 use bytes::BytesMut;
 use std::cell::Cell;
 use std::io::ErrorKind;
@@ -69,7 +69,7 @@
     /// Moves streamed data that has arrived into the outbox.
     fn fill_outbox(&mut self) {}
     /// Returns a future that completes when more streamed data can be moved, or `None` if the session waits for none.
-    fn wakeup(&self) -> Option<Stir> {
+    fn wakeup(&self) -> Option<Wakeup> {
         None
     }
     /// Whether an answer is being streamed to the client while it arrives from the node.
@@ -226,7 +226,7 @@
                         dispatcher.take(&stream, &mut session, &mut activity, &mut read);
                         continue;
                     }
-                    Err(error) if passes(&error) => continue,
+                    Err(error) if is_transient(&error) => continue,
                     _ => {}
                 }
             }
@@ -283,8 +283,8 @@
                         session.wrote(n);
                         activity.wrote(dispatcher.loop_clock.now());
                     }
-                    Err(e) if is_short_of_memory(&e) => tokio::time::sleep(REST).await,
-                    Err(e) if passes(&e) => {}
+                    Err(e) if is_short_of_memory(&e) => tokio::time::sleep(RETRY_DELAY).await,
+                    Err(e) if is_transient(&e) => {}
                     Err(_) => break CloseReason::ClientGone,
                 }
             }
@@ -294,10 +294,10 @@
                     Ok(0) => break CloseReason::ClientGone,
                     Ok(_) => {}
                     Err(e) if is_short_of_memory(&e) => {
-                        tokio::time::sleep(REST).await;
+                        tokio::time::sleep(RETRY_DELAY).await;
                         continue;
                     }
-                    Err(e) if passes(&e) => {
+                    Err(e) if is_transient(&e) => {
                         dispatcher.note_still_open(&e);
                         continue;
                     }
@@ -307,7 +307,7 @@
                     true => dispatcher.take(&stream, &mut session, &mut activity, &mut read),
                     false => {
                         has_unparsed = true;
-                        dispatcher.note_waiting_since(dispatcher.loop_clock.came());
+                        dispatcher.note_waiting_since(dispatcher.loop_clock.earliest_arrival());
                     }
                 }
             }
@@ -321,7 +321,7 @@
                     session.stop();
                 }
             }
-            () = stir(wakeup) => {
+            () = wait_for(wakeup) => {
                 // The limit of unanswered requests may allow data that was read before.
                 if !read.is_empty() && !session.is_full() {
                     dispatcher.take(&stream, &mut session, &mut activity, &mut read);
@@ -349,7 +349,7 @@
         }
         match stream.try_write_vectored(&session.outbox().slices()) {
             Ok(n) => session.wrote(n),
-            Err(error) if passes(&error) => tokio::time::sleep(REST).await,
+            Err(error) if is_transient(&error) => tokio::time::sleep(RETRY_DELAY).await,
             Err(_) => return,
         }
     }
@@ -382,7 +382,7 @@
     /// Checks that every request is answered exactly once; told of each request, answer and close.
     pub guard: Guard,
     /// The event loop's clock and scheduling lag.
-    pub loop_clock: Pulse,
+    pub loop_clock: LoopClock,
     /// The broker's phase.
     pub phase: watch::Receiver<Phase>,
 }
@@ -399,7 +399,7 @@
     planner: UnboundedSender<Input<W>>,
     guard: Guard,
     back: AnswerSender<W::Reply>,
-    loop_clock: Pulse,
+    loop_clock: LoopClock,
     admission: Admission,
     /// Since when the data that is parsed next may have waited, in the socket or in the read-ahead buffer. `None` if it has
     /// just arrived.
@@ -420,7 +420,7 @@
         let owed = session.unanswered();
         // If the process stalled, the client may have closed at the beginning of the stall, but not before the connection was
         // last seen open.
-        let closed = self.loop_clock.came().max(self.last_seen_open.get());
+        let closed = self.loop_clock.earliest_arrival().max(self.last_seen_open.get());
         self.guard.close(&owed, closed, reason);
         match reason {
             CloseReason::NotRead | CloseReason::BrokenValue if !owed.is_empty() => {
@@ -429,7 +429,7 @@
             _ => {
                 let now = self.loop_clock.now();
                 let (open_us, since_us, stalled_us) =
-                    (now - activity.accepted(), now - closed, now - self.loop_clock.came());
+                    (now - activity.accepted(), now - closed, now - self.loop_clock.earliest_arrival());
                 tracing::debug!(
                     ?reason,
                     ?owed,
@@ -476,7 +476,7 @@
         read: &mut BytesMut,
     ) {
         let (before, mut requests) = (read.len(), Vec::new());
-        let came = self.loop_clock.came();
+        let came = self.loop_clock.earliest_arrival();
         let waiting_since = self.waiting_since.get();
         let arrived = waiting_since.map_or(came, |since| since.min(came));
         session.receive(arrived, read, &mut requests);
--- a/src/wire/sock_diag.rs
+++ b/src/wire/sock_diag.rs
@@ -7,7 +7,7 @@
 /// The protocol of such sockets.
 pub const NETLINK_SOCK_DIAG: i32 = 4;
 /// Longest answer to one question.
-pub const MOST_BYTES: usize = 4096;
+pub const MAX_REPLY_BYTES: usize = 4096;
 
 /// `SOCK_DIAG_BY_FAMILY`.
 const BY_FAMILY: u16 = 20;
--- a/src/wire/socket.rs
+++ b/src/wire/socket.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// How long to rest after an error that passes, so that it is not met again and again at once.
-pub const REST: Duration = Duration::from_millis(2);
+/// How long to rest after an error that is_transient, so that it is not met again and again at once.
+pub const RETRY_DELAY: Duration = Duration::from_millis(2);
 
 /// What lies unread on a socket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,14 +32,14 @@
             Err(error) if error.kind() == ErrorKind::Interrupted => continue,
             // Not known: whoever reads finds out.
             Err(error) if is_short_of_memory(&error) => Unread::Bytes,
-            Err(error) if passes(&error) => Unread::Nothing,
+            Err(error) if is_transient(&error) => Unread::Nothing,
             Err(_) => Unread::End,
         };
     }
 }
 
 /// The next connection on a listening socket, if there is one by now.
-pub async fn accepted_now(listener: &TcpListener) -> Option<std::io::Result<TcpStream>> {
+pub async fn try_accept(listener: &TcpListener) -> Option<std::io::Result<TcpStream>> {
     tokio::select! {
         biased;
         accepted = listener.accept() => Some(accepted.map(|(stream, _)| stream)),
@@ -48,7 +48,7 @@
 }
 
 /// Whether an error of a read or a write says nothing about the connection: it works when tried again.
-pub fn passes(error: &Error) -> bool {
+pub fn is_transient(error: &Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) || is_short_of_memory(error)
 }
 
@@ -59,23 +59,23 @@
 
 /// What a connection that did not come up says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NotUp {
+pub enum ConnectFailure {
     /// The other side said no, or nobody listens.
     Refused,
     /// It was waited for in vain, or the network has no way to that host.
-    Unreached,
+    Unreachable,
     /// This machine could not try: no descriptor, port, memory or network. It says nothing about the other side.
-    Here,
+    Local,
 }
 
 /// What an error of a connect says.
-pub fn not_up(error: &Error) -> NotUp {
+pub fn connect_failure(error: &Error) -> ConnectFailure {
     match error.raw_os_error() {
-        Some(libc::ECONNREFUSED | libc::ECONNRESET) => NotUp::Refused,
-        Some(libc::ETIMEDOUT | libc::EHOSTUNREACH | libc::EHOSTDOWN) => NotUp::Unreached,
-        Some(_) => NotUp::Here,
+        Some(libc::ECONNREFUSED | libc::ECONNRESET) => ConnectFailure::Refused,
+        Some(libc::ETIMEDOUT | libc::EHOSTUNREACH | libc::EHOSTDOWN) => ConnectFailure::Unreachable,
+        Some(_) => ConnectFailure::Local,
         // A text that is no address, as a list may hold one.
-        None => NotUp::Unreached,
+        None => ConnectFailure::Unreachable,
     }
 }
 
--- a/src/wire/socket/tests.rs
+++ b/src/wire/socket/tests.rs
@@ -5,7 +5,7 @@
 /// Guards against a server that is taken for failing because this machine could not try, as Linux documents it.
 #[test]
 fn errors_of_this_machine_say_nothing_of_the_other_side() {
-    let said = |code: i32| not_up(&Error::from_raw_os_error(code));
+    let said = |code: i32| connect_failure(&Error::from_raw_os_error(code));
     let here = [
         libc::EMFILE,
         libc::ENFILE,
@@ -20,17 +20,17 @@
         libc::EAGAIN,
     ];
     for code in here {
-        assert_eq!(said(code), NotUp::Here, "{code}");
+        assert_eq!(said(code), ConnectFailure::Local, "{code}");
     }
     for code in [libc::ETIMEDOUT, libc::EHOSTUNREACH] {
-        assert_eq!(said(code), NotUp::Unreached, "{code}");
+        assert_eq!(said(code), ConnectFailure::Unreachable, "{code}");
     }
-    assert_eq!(said(libc::ECONNREFUSED), NotUp::Refused);
+    assert_eq!(said(libc::ECONNREFUSED), ConnectFailure::Refused);
     for code in [libc::EINTR, libc::EAGAIN, libc::ENOBUFS, libc::ENOMEM] {
-        assert!(passes(&Error::from_raw_os_error(code)), "{code}");
+        assert!(is_transient(&Error::from_raw_os_error(code)), "{code}");
     }
     for code in [libc::ECONNRESET, libc::EPIPE, libc::ETIMEDOUT] {
-        assert!(!passes(&Error::from_raw_os_error(code)), "{code}");
+        assert!(!is_transient(&Error::from_raw_os_error(code)), "{code}");
     }
 }
 
--- a/src/wire/watch.rs
+++ b/src/wire/watch.rs
@@ -2,13 +2,13 @@
 //! [`ListValidity`].
 
 use super::discovery::{self, Listing, NodeNumbers, Response};
-use super::socket::{is_short_of_memory, not_up, passes, NotUp};
+use super::socket::{connect_failure, is_short_of_memory, is_transient, ConnectFailure};
 use crate::interface::{ListKind, Time};
 use crate::state::list_validity::{Failure, ListValidity, Step, Terms};
 use crate::state::maintenance::{Maintenance, NamedNode};
 use crate::state::planner::{Input, Wire};
 use crate::state::starts::StartTimes;
-use crate::wire::clock::Pulse;
+use crate::wire::clock::LoopClock;
 use crate::wire::link::Permit;
 use bytes::BytesMut;
 use std::cell::{Cell, RefCell};
@@ -55,7 +55,7 @@
     /// When nodes have started, by this machine's clock.
     pub starts: StartTimes,
     /// The time, and how late this process runs.
-    pub pulse: Pulse,
+    pub loop_clock: LoopClock,
 }
 
 /// A connection that serves another call.
@@ -71,15 +71,15 @@
         let mut held = false;
         loop {
             // A call is not given up, nor the list held to be old, for what lies unread here.
-            self.pulse.catch_up().await;
-            let now = self.pulse.now();
+            self.loop_clock.catch_up().await;
+            let now = self.loop_clock.now();
             self.list_validity.set_terms(self.terms.get());
             match self.list_validity.step(now) {
                 Step::Wait => {}
                 Step::Call(wait) => {
                     let address = self.address.borrow_and_update().clone();
-                    let (revision, pulse) = (self.revision.get(), self.pulse.clone());
-                    calling = Some(Box::pin(call(address, revision, wait, kept.take(), pulse)));
+                    let (revision, loop_clock) = (self.revision.get(), self.loop_clock.clone());
+                    calling = Some(Box::pin(call(address, revision, wait, kept.take(), loop_clock)));
                 }
                 Step::GiveUp => {
                     calling = None;
@@ -103,18 +103,18 @@
                 biased;
                 answer = answer(&mut calling) => {
                     calling = None;
-                    tracing::debug!(waited = self.pulse.now() - now, ok = answer.is_ok(), "call to discovery");
+                    tracing::debug!(waited = self.loop_clock.now() - now, ok = answer.is_ok(), "call to discovery");
                     match answer.and_then(|(response, keep)| Ok((self.listing(response)?, keep))) {
                         Ok((listing, keep)) => {
                             kept = keep;
-                            self.list_validity.answered(self.pulse.now());
+                            self.list_validity.answered(self.loop_clock.now());
                             if !self.take(listing).await {
                                 return;
                             }
                         }
                         Err((failure, reason)) => {
                             tracing::warn!(reason, "list of nodes lost");
-                            self.list_validity.failed(self.pulse.now(), failure);
+                            self.list_validity.failed(self.loop_clock.now(), failure);
                         }
                     }
                 }
@@ -124,9 +124,9 @@
                     }
                     // The version holds at the new address, too: nothing that was told is asked for again.
                     (calling, kept) = (None, None);
-                    self.list_validity.endpoint_changed(self.pulse.now());
+                    self.list_validity.endpoint_changed(self.loop_clock.now());
                 }
-                () = tokio::time::sleep_until(self.pulse.clock().instant(wake).into()) => {}
+                () = tokio::time::sleep_until(self.loop_clock.clock().instant(wake).into()) => {}
             }
         }
     }
@@ -145,14 +145,14 @@
     /// Takes a list; false if the planner is gone. Only what has changed goes on, in parts between which others are given
     /// way to: what a long list says must not hold up an answer.
     async fn take(&mut self, listing: Listing) -> bool {
-        let now = self.pulse.now();
+        let now = self.loop_clock.now();
         self.revision.set(listing.revision);
         let kind = listing.kind();
         let mut listed = listing.into_listed(&mut self.numbers, &self.zones.borrow());
         self.date(now, &mut listed);
         let named = listed.len();
         let mut members = self.maintenance.borrow_mut().apply_changes(now, kind, listed);
-        self.pulse.spent("laying a list over the last one", now);
+        self.loop_clock.record_blocking("laying a list over the last one", now);
         if named > 0 || !members.is_empty() {
             let (revision, changed) = (self.revision.get(), members.len());
             tracing::info!(?kind, revision, nodes = named, changed, "list of nodes");
@@ -170,7 +170,7 @@
 
     /// Puts this machine's clock in the place of the wall clock.
     fn date(&mut self, now: Time, listed: &mut [NamedNode]) {
-        let moved = self.starts.begin_list(self.pulse.clock().wall_step());
+        let moved = self.starts.begin_list(self.loop_clock.clock().wall_clock_drift());
         let moved: Vec<NamedNode> = self.maintenance.borrow().with_starts(moved);
         for listed in listed {
             let entry = &mut listed.member.entry;
@@ -198,13 +198,13 @@
     revision: u64,
     wait: Time,
     kept: Kept,
-    pulse: Pulse,
+    loop_clock: LoopClock,
 ) -> Result<(Response, Kept), (Failure, String)> {
     let stream = match kept {
         Some(stream) => stream,
         None => connect(&address).await?,
     };
-    let call = discovery::watch_call(&address, revision, (wait / 1000).max(1));
+    let call = discovery::watch_request(&address, revision, (wait / 1000).max(1));
     write_all(&stream, call.as_bytes()).await.map_err(|e| (Failure::Rejected, e.to_string()))?;
     let mut read = BytesMut::with_capacity(READ);
     // How long has been waited for more of an answer that has begun. What this process itself was late is no wait.
@@ -226,7 +226,7 @@
         let more = waited.map_or(Duration::ZERO, |waited: Duration| waited + from.elapsed().min(REST));
         read.reserve(READ);
         match stream.try_read_buf(&mut read) {
-            Err(e) if passes(&e) => {
+            Err(e) if is_transient(&e) => {
                 waited = waited.map(|_| more);
                 continue;
             }
@@ -241,9 +241,9 @@
             }
             Ok(_) => waited = Some(more),
         }
-        let begun = pulse.now();
+        let begun = loop_clock.now();
         let decoded = discovery::decode(&mut read);
-        pulse.spent("reading a list", begun);
+        loop_clock.record_blocking("reading a list", begun);
         match decoded {
             Ok(None) => {}
             Ok(Some((response, keep))) => return Ok((response, Some(stream).filter(|_| keep))),
@@ -259,10 +259,10 @@
         Err(_) => Err((Failure::NotConnected, "connecting timed out".to_string())),
         Ok(Ok(stream)) => Ok(stream),
         Ok(Err(e)) => {
-            let failure = match (e.kind(), not_up(&e)) {
+            let failure = match (e.kind(), connect_failure(&e)) {
                 (ErrorKind::ConnectionReset, _) => Failure::Rejected,
-                (_, NotUp::Refused) => Failure::Refused,
-                (_, NotUp::Unreached | NotUp::Here) => Failure::NotConnected,
+                (_, ConnectFailure::Refused) => Failure::Refused,
+                (_, ConnectFailure::Unreachable | ConnectFailure::Local) => Failure::NotConnected,
             };
             Err((failure, e.to_string()))
         }
@@ -276,8 +276,8 @@
         match stream.try_write(bytes) {
             Ok(0) => return Err(ErrorKind::WriteZero.into()),
             Ok(n) => bytes = &bytes[n..],
-            Err(e) if is_short_of_memory(&e) => tokio::time::sleep(super::socket::REST).await,
-            Err(e) if passes(&e) => {}
+            Err(e) if is_short_of_memory(&e) => tokio::time::sleep(super::socket::RETRY_DELAY).await,
+            Err(e) if is_transient(&e) => {}
             Err(e) => return Err(e),
         }
     }
--- a/tests/layers.rs
+++ b/tests/layers.rs
@@ -49,5 +49,5 @@
 #[test]
 fn a_step_back_is_seen() {
     assert_eq!(wrong("wire", "use crate::run::clock::Clock;\nuse crate::state::x;"), ["run"]);
-    assert_eq!(wrong("state", "crate::wire::link::Broken"), ["wire"]);
+    assert_eq!(wrong("state", "crate::wire::link::ProtocolError"), ["wire"]);
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -10,7 +10,7 @@
 use claywinch::state::pipe::pipe;
 use claywinch::state::planner::{Answer, AttemptEnd};
 use claywinch::state::stable_index::Indexed;
-use claywinch::wire::link::{Broken, Exchange, Flow};
+use claywinch::wire::link::{Exchange, ProtocolError, ReplyProgress};
 use claywinch::wire::nbd::server::{Catalogue, Client as NbdClient, Export, Exports, Kind};
 use claywinch::wire::nbd::teller::{Teller, TellerError};
 use claywinch::wire::nbd::{client::Node as NbdNode, Operation, Part, Request};
@@ -24,8 +24,8 @@
 
 /// A parser that takes all whole messages there are, and throws away what follows a broken one.
 fn drain<T>(
-    decode: impl Fn(&mut BytesMut) -> Result<Option<T>, Broken>,
-) -> impl FnMut(&mut BytesMut) -> Vec<Result<T, Broken>> {
+    decode: impl Fn(&mut BytesMut) -> Result<Option<T>, ProtocolError>,
+) -> impl FnMut(&mut BytesMut) -> Vec<Result<T, ProtocolError>> {
     move |read| {
         let mut seen = Vec::new();
         while let Some(message) = decode(read).transpose() {
@@ -153,7 +153,7 @@
         ]
     );
     // The third was written whole, the fourth was not: only that one cannot have run.
-    let lost: Vec<Ending> = node.lost().into_iter().map(|(_, end)| end.ending).collect();
+    let lost: Vec<Ending> = node.connection_lost().into_iter().map(|(_, end)| end.ending).collect();
     assert_eq!(lost, [Ending::Reset, Ending::Unreachable]);
 }
 
@@ -177,14 +177,14 @@
         commands().enumerate().for_each(|(i, c)| node.send((i as u64, 0), 480_000, c));
         node.outbox().wrote(bytes);
         let begun = bytes.div_ceil(one);
-        let back: Vec<u64> = node.take_back().into_iter().map(|(id, _)| id).collect();
+        let back: Vec<u64> = node.cancel_unsent().into_iter().map(|(id, _)| id).collect();
         assert_eq!(back, (begun as u64..3).collect::<Vec<u64>>(), "{bytes}");
         assert_eq!(written(node.outbox()).len(), begun * one - bytes, "what has begun goes on");
-        assert!(node.take_back().is_empty());
+        assert!(node.cancel_unsent().is_empty());
         // What comes after is written whole.
         commands().take(1).for_each(|c| node.send((9, 0), 480_000, c));
         assert_eq!(written(node.outbox()).len(), one);
-        assert_eq!(node.lost().len(), begun + 1);
+        assert_eq!(node.connection_lost().len(), begun + 1);
     }
 }
 
@@ -195,11 +195,11 @@
     for written_before in [false, true] {
         let (mut node, mut client) = (Node::default(), resp_client());
         let id = asked_of(&mut node, &mut client, &text.as_bytes()[..50_000], &mut BytesMut::new());
-        assert!(!node.takes(), "what comes behind it waits with the link");
+        assert!(!node.can_send(), "what comes behind it waits with the link");
         if written_before {
             node.outbox().wrote(1);
         }
-        let back: Vec<u64> = node.take_back().into_iter().map(|(id, _)| id).collect();
+        let back: Vec<u64> = node.cancel_unsent().into_iter().map(|(id, _)| id).collect();
         assert_eq!(back, if written_before { vec![] } else { vec![id] });
         node.fill().expect("nothing is broken");
         assert_eq!(node.outbox().is_empty(), !written_before);
@@ -210,8 +210,8 @@
 #[test]
 fn an_nbd_node_gives_back_what_waits_for_its_handshake() {
     let mut node = nbd_node();
-    assert_eq!(node.take_back(), [(5, 0)]);
-    assert!(node.lost().is_empty());
+    assert_eq!(node.cancel_unsent(), [(5, 0)]);
+    assert!(node.connection_lost().is_empty());
 }
 
 /// Guards against half a list that passes for a whole one, and a whole one that names a node twice.
@@ -621,7 +621,7 @@
     node.receive(&mut BytesMut::from(&node_says(&whole[..1])[..]), &mut ended).unwrap();
     assert!(ended.is_empty());
     written(node.outbox());
-    assert_eq!(node.lost(), [((5, 0), AttemptEnd::without_reply(Ending::Reset))]);
+    assert_eq!(node.connection_lost(), [((5, 0), AttemptEnd::without_reply(Ending::Reset))]);
     let mut node = nbd_node();
     node.receive(&mut BytesMut::from(&node_says(&whole)[..]), &mut ended).unwrap();
     let parts = vec![Part::Hole(0, 4), Part::Data(4, "efghij".into())];
@@ -652,12 +652,16 @@
             Some(ending) => assert_eq!(ended, [((5, 0), AttemptEnd::without_reply(ending))], "{chunks:?}"),
             None => {
                 assert!(result.is_err() && ended.is_empty(), "{chunks:?}");
-                assert_eq!(node.lost(), [((5, 0), AttemptEnd::without_reply(Ending::Reset))], "{chunks:?}");
+                assert_eq!(
+                    node.connection_lost(),
+                    [((5, 0), AttemptEnd::without_reply(Ending::Reset))],
+                    "{chunks:?}"
+                );
             }
         }
     }
     // Before the handshake is done nothing has been sent.
-    assert_eq!(nbd_node().lost(), [((5, 0), AttemptEnd::without_reply(Ending::Unreachable))]);
+    assert_eq!(nbd_node().connection_lost(), [((5, 0), AttemptEnd::without_reply(Ending::Unreachable))]);
 }
 
 #[test]
@@ -837,13 +841,13 @@
     let mut before = None;
     while at < reply.len() || before != Some((read.len(), told.len())) {
         before = Some((read.len(), told.len()));
-        if node.listens(read.len()) && at < reply.len() {
+        if node.wants_read(read.len()) && at < reply.len() {
             let end = (at + step).min(reply.len());
             read.extend_from_slice(&reply[at..end]);
             at = end;
         }
         let result = node.receive(&mut read, &mut ended);
-        if let Some(Flow::Begun((id, _), end)) = node.flow() {
+        if let Some(ReplyProgress::Begun((id, _), end)) = node.progress() {
             client.answer(id, Answer::Served(end.reply.expect("a value")));
         }
         for ((id, _), end) in ended.drain(..) {
@@ -957,7 +961,7 @@
     written(node.outbox());
     drop(client);
     assert!(node.fill().is_err(), "the rest will not come");
-    assert_eq!(node.lost(), [((1, 0), AttemptEnd::without_reply(Ending::Unreachable))]);
+    assert_eq!(node.connection_lost(), [((1, 0), AttemptEnd::without_reply(Ending::Unreachable))]);
     // A class that does not exist; then a request that does, behind it on the same connection.
     let mut client = resp_client();
     let bad = put("1", &FIELDS.replace("read", "none"), &body);
