--- a/src/run/active_settings.rs
+++ b/src/run/active_settings.rs
@@ -72,7 +72,7 @@
         let terms = RequestSchema {
             classes,
             plans: of_plan,
-            most_units: start.settings.max_units as u32,
+            max_units: start.settings.max_units as u32,
             shards: start.shards,
         };
         self.settings = Some(start.settings);
--- a/src/wire/resp/server.rs
+++ b/src/wire/resp/server.rs
@@ -1,4 +1,4 @@
-//! The server's side of RESP2: a session with a client.
+//! The server side of RESP2: a session with one client.
 
 use super::*;
 use crate::interface::{Arrival, Class, RequestId};
@@ -14,125 +14,126 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// Commands of one client that may wait for their answers.
-const MOST_SLOTS: usize = 256;
-/// Bytes of a long value that wait to be written at most.
-const MOST_AHEAD: u64 = 32 * 1024;
-/// Bytes of their bodies that may be held at once.
-const MOST_HELD: usize = 1 << 20;
-/// What a request takes beside its body: its words here, its state with the planner and the scheduler.
+/// Commands of one client that may wait for their answers at the same time.
+const MAX_SLOTS: usize = 256;
+/// Bytes of a streamed value that may wait in the outbox.
+const MAX_STREAMED_AHEAD: u64 = 32 * 1024;
+/// Bytes of request bodies that one client may have open at the same time.
+const MAX_HELD: usize = 1 << 20;
+/// Memory charged for a request in addition to its body, in bytes: its arguments and its state in the planner and the
+/// scheduler.
 const REQUEST_BYTES: usize = 2 * 1024;
-/// Longest id of a request.
-const MOST_ID: usize = 64;
-/// Digits of a piece of data and of a volume.
+/// Longest request id, in bytes.
+const MAX_ID_LENGTH: usize = 64;
+/// Number of hexadecimal digits in the name of a piece of data or of a volume.
 const HEX_DIGITS: usize = 16;
-/// How many times its class's whole time a client may say that it waits: more is a mistake, and would be
-/// kept for as long.
-const MOST_WAITS: Time = 2;
-/// Taken off a client's deadline: what its request needed to get here and what the answer will, 0.7 to 1.3 ms
-/// each way, and how late timers run, up to 3 ms. An answer given at the deadline must find the client there.
-/// It only ever brings an answer forward.
-const TRANSIT: Time = 6_000;
-
-/// What requests of a class may say.
+/// Longest wait that a client may state, as a multiple of its class's deadline. A longer one is a client error, and the
+/// request would be kept in memory for as long.
+const MAX_WAIT_FACTOR: Time = 2;
+/// Subtracted from a client's deadline, in microseconds: network transit of the request and the answer, 0.7 to 1.3 ms
+/// each way, and timer lateness, up to 3 ms. An answer given at the deadline must reach the client before it gives up. The
+/// margin only ever makes an answer earlier.
+const TRANSIT_MARGIN: Time = 6_000;
+
+/// The settings of a class against which its requests are validated.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassSchema {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// How long its clients wait in all.
+    /// How long clients of the class wait for an answer in total, in microseconds.
     pub deadline: Time,
-    /// Whether its requests write; nothing where the settings leave it open.
+    /// Whether requests of the class write; `None` if the settings do not specify it.
     pub writes: Option<bool>,
-    /// What the scheduler is told of it.
+    /// The class as it is passed to the scheduler.
     pub class: Class,
 }
 
-/// What requests may say, by the settings. Whatever else they say is no use to any node.
+/// The settings against which requests are validated. A request that does not match them could not be served by any node.
 #[derive(Debug, Default)]
 pub struct RequestSchema {
-    /// The classes with their places at the scheduler.
+    /// The classes, with their indices at the scheduler.
     pub classes: Vec<Rc<Indexed<ClassSchema>>>,
-    /// Names of the plans, with theirs.
+    /// Names of the plans, with their indices at the scheduler.
     pub plans: Vec<(String, usize)>,
-    /// Most units of a request.
-    pub most_units: u32,
-    /// Number of shards, where the settings tell.
+    /// Largest number of units of one request.
+    pub max_units: u32,
+    /// Number of shards, if the settings specify it.
     pub shards: Option<u32>,
 }
 
 impl RequestSchema {
-    /// How long a request may wait to be taken: half of the shortest deadline, since one that is refused by then has time to go
-    /// elsewhere.
+    /// Returns how long a connection may wait for a client slot: half of the shortest deadline, so that a client that is
+    /// refused then has time to try another broker.
     pub fn accept_timeout(&self) -> Time {
         self.classes.iter().map(|class| class.value.deadline / 2).min().unwrap_or(Time::MAX)
     }
 }
 
-/// What the sessions of a front share.
+/// State that the sessions of a front share.
 pub struct SharedState {
-    /// What requests may say; replaced as a whole.
+    /// The settings against which requests are validated; a reload replaces them as a unit.
     pub schema: RefCell<Rc<RequestSchema>>,
-    /// RequestIds for requests.
+    /// Allocates request ids.
     pub request_ids: RequestIds,
-    /// Room for what is open.
+    /// Memory budget for open requests and unwritten answers.
     pub budget: BufferBudget,
     /// The broker's phase.
     phase: watch::Receiver<Phase>,
-    /// Ids of the requests that are open, by whatever client.
+    /// The clients' ids of all open requests of the front.
     open: RefCell<BTreeSet<Box<[u8]>>>,
 }
 
 impl SharedState {
-    /// For sessions of which none has begun.
+    /// Creates the state for a front without sessions.
     pub fn new(schema: RequestSchema, budget: BufferBudget, phase: watch::Receiver<Phase>) -> Self {
         let schema = RefCell::new(Rc::new(schema));
         SharedState { schema, request_ids: RequestIds::default(), budget, phase, open: RefCell::default() }
     }
 }
 
-/// A request that is still to be answered.
-struct Owed {
-    /// Its class as it was taken, whose place is not given away as long.
+/// A request that has not been answered yet.
+struct Unanswered {
+    /// The class as of when the request was accepted. Holding it keeps the class's index from being reused.
     _class: Rc<Indexed<ClassSchema>>,
     number: RequestId,
     id: Box<[u8]>,
-    /// Bytes of its body.
+    /// Bytes charged for the body.
     body: usize,
 }
 
-/// What a client has asked for.
-enum Asked {
-    Request(Owed),
-    /// Answered without a node.
+/// The result of parsing one command.
+enum Parsed {
+    Request(Unanswered),
+    /// A command that is answered without a node, with the answer.
     Line(&'static [u8]),
     Quit,
 }
 
-/// What is still to be answered, in the order of the commands.
+/// An entry in the queue of answers, which is kept in the order of the commands.
 enum Slot {
-    Owed(Owed),
+    Unanswered(Unanswered),
     Ready(Vec<Bytes>),
-    /// A value that is passed on while it comes.
-    Long(PipeReader),
-    /// A value that is gathered before it is passed on, since other answers stand behind it: if it broke off on the way, the
-    /// connection would have to end under them.
-    Gathered(Gathered),
+    /// A value that is streamed to the client while it arrives from the node.
+    Streamed(PipeReader),
+    /// A value that is collected completely before it is written, because other answers are queued behind it: if a streamed
+    /// value broke off, the connection would have to be closed and those answers would be lost.
+    Buffering(Buffering),
 }
 
-/// A long value of which some has come.
-struct Gathered {
-    taker: PipeReader,
+/// A long value that is being collected.
+struct Buffering {
+    reader: PipeReader,
     length: usize,
     parts: Vec<Bytes>,
 }
 
-impl Gathered {
-    /// Takes what has come. Gives the answer once all has, or once the rest will not.
-    fn gather(&mut self) -> Option<Vec<Bytes>> {
-        while let Some(bytes) = self.taker.take() {
+impl Buffering {
+    /// Collects the bytes that have arrived. Returns the answer once the value is complete or has broken off.
+    fn poll_complete(&mut self) -> Option<Vec<Bytes>> {
+        while let Some(bytes) = self.reader.take() {
             self.parts.push(bytes);
         }
-        match self.taker.progress() {
+        match self.reader.progress() {
             Progress::Ongoing => None,
             Progress::Broken => Some(vec![Bytes::from_static(FAILED)]),
             Progress::Complete => {
@@ -145,61 +146,61 @@
     }
 }
 
-/// The first line of a value.
+/// Returns the header line of a bulk string.
 fn value_head(length: usize) -> Bytes {
     format!("${length}\r\n").into()
 }
 
-/// The answer to a request that was sent nowhere: trying again is harmless.
+/// The answer to a request that was not sent to any node: the client may safely retry it.
 const BUSY: &[u8] = b"-BUSY\r\n";
 /// The answer to a request that failed.
 const FAILED: &[u8] = b"-ERR failed\r\n";
 
-/// A long body on its way from the client.
+/// A long request body that is being received from the client.
 struct Upload {
-    /// Where it goes; nowhere once its request has its answer.
-    giver: Option<PipeWriter>,
-    /// Bytes still to come, without the end of the line.
+    /// Receives the body. `None` if the request was rejected or has been answered; the rest is then discarded.
+    writer: Option<PipeWriter>,
+    /// Bytes of the body still to be received, without the final line end.
     left: usize,
-    /// The request, and how long its client waits from its last byte on.
+    /// The request id, and how long the client waits after the last byte of the body.
     request: Option<(RequestId, Time)>,
 }
 
-/// A client's session.
+/// A session with one client.
 pub struct Client {
-    common: Rc<SharedState>,
+    shared: Rc<SharedState>,
     slots: VecDeque<Slot>,
     held: usize,
-    /// Room for the values that are not written yet.
+    /// Budget reserved for values that are not written yet.
     values: Reservation,
-    /// Room for what was read and is not taken.
-    untaken: Reservation,
+    /// Budget reserved for data that was read but not parsed.
+    unparsed: Reservation,
     outbox: Outbox,
     upload: Option<Upload>,
-    /// Requests whose long bodies have come whole, and when their clients give up.
-    whole: VecDeque<(RequestId, Time)>,
+    /// Requests whose streamed bodies have arrived completely, and when their clients give up.
+    complete_uploads: VecDeque<(RequestId, Time)>,
     ending: bool,
     broken: bool,
 }
 
-/// What the scheduler is told of a request, where its deadline stands, and its class.
-type Taken = (Arrival, Range<usize>, Rc<Indexed<ClassSchema>>);
-/// The error line for a command.
-type Wrong = &'static [u8];
+/// A request for the scheduler, the position of its deadline in the field list, and its class.
+type ValidRequest = (Arrival, Range<usize>, Rc<Indexed<ClassSchema>>);
+/// The error line that answers an invalid command.
+type ErrorLine = &'static [u8];
 
 impl Client {
-    /// A session of a client that has just connected.
-    pub fn new(common: Rc<SharedState>) -> Self {
-        let (values, untaken) = (common.budget.empty_reservation(), common.budget.empty_reservation());
+    /// Creates the session of a client that has just connected.
+    pub fn new(shared: Rc<SharedState>) -> Self {
+        let (values, unparsed) = (shared.budget.empty_reservation(), shared.budget.empty_reservation());
         Client {
-            common,
+            shared,
             slots: VecDeque::new(),
             held: 0,
             values,
-            untaken,
+            unparsed,
             outbox: Outbox::default(),
             upload: None,
-            whole: VecDeque::new(),
+            complete_uploads: VecDeque::new(),
             ending: false,
             broken: false,
         }
@@ -209,8 +210,8 @@
         &self,
         now: Time,
         value: Value,
-        asks: &mut Vec<(Arrival, Command)>,
-    ) -> Result<Asked, &'static [u8]> {
+        requests: &mut Vec<(Arrival, Command)>,
+    ) -> Result<Parsed, &'static [u8]> {
         let Value::Array(Some(items)) = value else {
             return Err(b"-ERR expected an array of bulk strings\r\n");
         };
@@ -220,25 +221,25 @@
         let Some(verb) = words.first() else { return Err(b"-ERR empty command\r\n") };
         let is = |name: &str| verb.eq_ignore_ascii_case(name.as_bytes());
         match () {
-            () if is("OBJ.GET") => self.request(now, words, "OBJ.GET", None, asks),
-            () if is("OBJ.PUT") => self.request(now, words, "OBJ.PUT", None, asks),
-            () if is("PING") && self.common.phase.borrow().answers_ping() => Ok(Asked::Line(b"+PONG\r\n")),
+            () if is("OBJ.GET") => self.request(now, words, "OBJ.GET", None, requests),
+            () if is("OBJ.PUT") => self.request(now, words, "OBJ.PUT", None, requests),
+            () if is("PING") && self.shared.phase.borrow().answers_ping() => Ok(Parsed::Line(b"+PONG\r\n")),
             () if is("PING") => Err(b"-ERR the broker takes no clients\r\n"),
-            () if is("CLIENT") || is("SELECT") => Ok(Asked::Line(b"+OK\r\n")),
-            () if is("QUIT") => Ok(Asked::Quit),
+            () if is("CLIENT") || is("SELECT") => Ok(Parsed::Line(b"+OK\r\n")),
+            () if is("QUIT") => Ok(Parsed::Quit),
             () => Err(b"-ERR unknown command\r\n"),
         }
     }
 
-    /// Takes a request that nodes can use; of any other nothing is kept.
+    /// Validates a request and appends it to `requests`. Nothing is kept of a request that is rejected.
     fn request(
         &self,
         now: Time,
         words: Vec<Bytes>,
         verb: &'static str,
         long: Option<(PipeReader, usize)>,
-        asks: &mut Vec<(Arrival, Command)>,
-    ) -> Result<Asked, Wrong> {
+        requests: &mut Vec<(Arrival, Command)>,
+    ) -> Result<Parsed, ErrorLine> {
         let put = verb == "OBJ.PUT";
         if words.len() != 4 + usize::from(put && long.is_none()) {
             return Err(b"-ERR wrong number of arguments\r\n");
@@ -246,9 +247,9 @@
         let mut words = words.into_iter().skip(1);
         let mut next = || words.next().unwrap_or_default();
         let (piece, id, list) = (next(), next(), next());
-        // Of a long body, what its window may hold.
+        // A streamed body is charged with the size of its window.
         let (body, held) = match long {
-            Some((taker, length)) => (Some(Body::Streamed(taker, length)), WINDOW),
+            Some((reader, length)) => (Some(Body::Streamed(reader, length)), WINDOW),
             None => {
                 let body = put.then(next);
                 let held = body.as_ref().map_or(0, Bytes::len);
@@ -258,29 +259,29 @@
         if !is_hex(&piece) {
             return Err(b"-ERR malformed piece\r\n");
         }
-        if id.is_empty() || id.len() > MOST_ID || !id.iter().all(u8::is_ascii_graphic) {
+        if id.is_empty() || id.len() > MAX_ID_LENGTH || !id.iter().all(u8::is_ascii_graphic) {
             return Err(b"-ERR malformed id\r\n");
         }
         let (mut arrival, deadline, class) = self.arrival(now, &list, put)?;
         arrival.key = Some(String::from_utf8_lossy(&piece).into_owned());
-        // A copy, so that the set does not pin what was read.
-        let owed = Owed { _class: class, number: arrival.id, id: id.as_ref().into(), body: held };
-        if self.common.open.borrow().contains(&owed.id) {
+        // The id is copied, so that the set of open ids does not keep the read buffer allocated.
+        let owed = Unanswered { _class: class, number: arrival.id, id: id.as_ref().into(), body: held };
+        if self.shared.open.borrow().contains(&owed.id) {
             return Err(b"-ERR id of a request that is open\r\n");
         }
-        if !self.common.budget.reserve(REQUEST_BYTES + held) {
+        if !self.shared.budget.reserve(REQUEST_BYTES + held) {
             return Err(BUSY);
         }
-        self.common.open.borrow_mut().insert(owed.id.clone());
-        // The one line that tells which number in the log is which request of a client.
+        self.shared.open.borrow_mut().insert(owed.id.clone());
+        // This is the only log line that links a request number to the client's id of the request.
         tracing::debug!(number = arrival.id, id = %id.escape_ascii(), verb, "request");
-        asks.push((arrival, Command { verb, piece, id, fields: list, deadline, body }));
-        Ok(Asked::Request(owed))
+        requests.push((arrival, Command { verb, piece, id, fields: list, deadline, body }));
+        Ok(Parsed::Request(owed))
     }
 
-    /// What the list of a request says, all but its key, and where its deadline stands.
-    fn arrival(&self, now: Time, list: &Bytes, put: bool) -> Result<Taken, Wrong> {
-        let terms = self.common.schema.borrow().clone();
+    /// Parses the field list of a request: returns the arrival without its key, the position of the deadline, and the class.
+    fn arrival(&self, now: Time, list: &Bytes, put: bool) -> Result<ValidRequest, ErrorLine> {
+        let terms = self.shared.schema.borrow().clone();
         let pairs = fields(list).ok_or(&b"-ERR malformed fields\r\n"[..])?;
         let twice = |(i, (name, _)): (usize, &(&[u8], &[u8]))| pairs[..i].iter().any(|(n, _)| n == name);
         if pairs.iter().enumerate().any(twice) {
@@ -297,34 +298,34 @@
         let plan =
             terms.plans.iter().find(|(name, _)| is(name, b"t")).ok_or(&b"-ERR unknown plan\r\n"[..])?;
         let text = find(b"d").unwrap_or_default();
-        let wait = whole(text).map(|ms| Time::from(ms) * 1000);
-        let wait = wait.filter(|w| *w > 0 && *w <= of_class.deadline * MOST_WAITS);
+        let wait = unsigned(text).map(|ms| Time::from(ms) * 1000);
+        let wait = wait.filter(|w| *w > 0 && *w <= of_class.deadline * MAX_WAIT_FACTOR);
         let wait = wait.ok_or(&b"-ERR malformed d\r\n"[..])?;
         let start = text.as_ptr() as usize - list.as_ptr() as usize;
         let volume = find(b"volume").filter(|v| is_hex(v)).ok_or(&b"-ERR malformed volume\r\n"[..])?;
-        let units = find(b"units").and_then(whole).filter(|u| (1..=terms.most_units).contains(u));
+        let units = find(b"units").and_then(unsigned).filter(|u| (1..=terms.max_units).contains(u));
         let units = units.ok_or(&b"-ERR malformed units\r\n"[..])?;
         let known = |n: &u32| terms.shards.is_none_or(|shards| *n < shards);
         let shard = match find(b"shard") {
             Some(b"-1") => None,
             other => {
-                let shard = other.and_then(whole).filter(known);
+                let shard = other.and_then(unsigned).filter(known);
                 Some(shard.ok_or(&b"-ERR malformed shard\r\n"[..])?)
             }
         };
-        let hosts = find(b"hosts").and_then(whole).filter(|h| *h > 0);
+        let hosts = find(b"hosts").and_then(unsigned).filter(|h| *h > 0);
         let arrival = Arrival {
-            id: self.common.request_ids.next(),
+            id: self.shared.request_ids.next(),
             class: class.index,
             plan: plan.1,
             key: None,
             due: self
-                .common
+                .shared
                 .phase
                 .borrow()
                 .answer_deadline(now)
                 .unwrap_or(Time::MAX)
-                .min(now + wait - TRANSIT),
+                .min(now + wait - TRANSIT_MARGIN),
             volume: String::from_utf8_lossy(volume).into_owned(),
             units: f64::from(units),
             shard,
@@ -334,11 +335,17 @@
         Ok((arrival, start..start + text.len(), class.clone()))
     }
 
-    /// Takes a command with a long body, which is asked for once its head is whole: the body is read as its node
-    /// takes it. Of a command that is turned down the body is read and dropped.
-    fn long(&mut self, now: Time, words: Value, length: usize, asks: &mut Vec<(Arrival, Command)>) {
-        // Its window is charged as a body of that length would be.
-        let (giver, taker) = pipe(&BufferBudget::new(WINDOW), WINDOW);
+    /// Accepts a command with a long body as soon as its head is complete: the body is read as fast as the node accepts it. The
+    /// body of a command that is rejected is read and discarded.
+    fn streamed_command(
+        &mut self,
+        now: Time,
+        words: Value,
+        length: usize,
+        requests: &mut Vec<(Arrival, Command)>,
+    ) {
+        // The window has a budget of its own here: `request` charges its size to the shared budget.
+        let (writer, reader) = pipe(&BufferBudget::new(WINDOW), WINDOW);
         let words: Vec<Bytes> = match words {
             Value::Array(Some(items)) => items
                 .into_iter()
@@ -346,80 +353,80 @@
                 .collect(),
             _ => Vec::new(),
         };
-        let asked = match words.first() {
+        let parsed = match words.first() {
             Some(verb) if verb.eq_ignore_ascii_case(b"OBJ.PUT") => {
-                self.request(now, words, "OBJ.PUT", Some((taker, length)), asks)
+                self.request(now, words, "OBJ.PUT", Some((reader, length)), requests)
             }
             _ => Err(&b"-ERR unknown command\r\n"[..]),
         };
-        let request = asks.last().map(|(arrival, _)| (arrival.id, arrival.due - now));
-        let (giver, request) = match asked {
-            Ok(_) => (Some(giver), request),
+        let request = requests.last().map(|(arrival, _)| (arrival.id, arrival.due - now));
+        let (writer, request) = match parsed {
+            Ok(_) => (Some(writer), request),
             Err(_) => (None, None),
         };
-        self.upload = Some(Upload { giver, left: length, request });
-        self.asked(asked);
+        self.upload = Some(Upload { writer, left: length, request });
+        self.push_parsed(parsed);
     }
 
-    /// Moves on what has come of a long body; false if more must come first, or its window is full.
-    fn body(&mut self, now: Time, read: &mut BytesMut) -> bool {
+    /// Moves received bytes of a long body into its window. Returns false if more data is needed or the window is full.
+    fn receive_body(&mut self, now: Time, read: &mut BytesMut) -> bool {
         let Some(upload) = &mut self.upload else { return true };
-        if upload.giver.as_ref().is_some_and(PipeWriter::is_abandoned) {
-            upload.giver = None;
+        if upload.writer.as_ref().is_some_and(PipeWriter::is_abandoned) {
+            upload.writer = None;
         }
-        let space = upload.giver.as_ref().map_or(usize::MAX, PipeWriter::space);
+        let space = upload.writer.as_ref().map_or(usize::MAX, PipeWriter::space);
         let part = read.split_to(upload.left.min(read.len()).min(space)).freeze();
         upload.left -= part.len();
-        if let Some(giver) = &upload.giver {
-            giver.put(part);
+        if let Some(writer) = &upload.writer {
+            writer.put(part);
         }
         if upload.left > 0 || read.len() < 2 {
             return false;
         }
         let Some(upload) = self.upload.take() else { return true };
         if read.split_to(2) != b"\r\n"[..] {
-            // The giver is dropped: its request cannot become whole.
-            self.asked(Err(b"-ERR protocol error\r\n"));
+            // The pipe writer is dropped, so the request's body stays incomplete and the request fails.
+            self.push_parsed(Err(b"-ERR protocol error\r\n"));
             self.ending = true;
             return true;
         }
-        if let Some((giver, (id, wait))) = upload.giver.zip(upload.request) {
-            giver.finish();
-            let last = self.common.phase.borrow().answer_deadline(now).unwrap_or(Time::MAX);
-            self.whole.push_back((id, last.min(now + wait)));
+        if let Some((writer, (id, wait))) = upload.writer.zip(upload.request) {
+            writer.finish();
+            let last = self.shared.phase.borrow().answer_deadline(now).unwrap_or(Time::MAX);
+            self.complete_uploads.push_back((id, last.min(now + wait)));
         }
         true
     }
 
-    fn asked(&mut self, asked: Result<Asked, Wrong>) {
-        match asked {
-            Ok(Asked::Request(owed)) => {
+    fn push_parsed(&mut self, parsed: Result<Parsed, ErrorLine>) {
+        match parsed {
+            Ok(Parsed::Request(owed)) => {
                 self.held += owed.body;
-                self.slots.push_back(Slot::Owed(owed));
+                self.slots.push_back(Slot::Unanswered(owed));
             }
-            Ok(Asked::Quit) => {
+            Ok(Parsed::Quit) => {
                 self.ending = true;
-                self.ready(b"+OK\r\n");
+                self.push_answer(b"+OK\r\n");
             }
-            Ok(Asked::Line(line)) => self.ready(line),
+            Ok(Parsed::Line(line)) => self.push_answer(line),
             Err(line) => {
-                tracing::debug!(line = %line.trim_ascii_end().escape_ascii(), "command turned down");
-                self.ready(line);
+                tracing::debug!(line = %line.trim_ascii_end().escape_ascii(), "command rejected");
+                self.push_answer(line);
             }
         }
     }
 
-    /// Queues what is ready at the front: answers go in the order of the commands.
+    /// Moves complete answers at the head of the queue to the outbox: answers are written in the order of the commands.
     fn flush(&mut self) {
         loop {
             match self.slots.front_mut() {
                 Some(Slot::Ready(parts)) => parts.drain(..).for_each(|part| self.outbox.push(part)),
-                Some(Slot::Long(taker)) => {
-                    while self.outbox.len() < MOST_AHEAD {
-                        let Some(bytes) = taker.take() else { break };
+                Some(Slot::Streamed(reader)) => {
+                    while self.outbox.len() < MAX_STREAMED_AHEAD {
+                        let Some(bytes) = reader.take() else { break };
                         self.outbox.push(bytes);
                     }
-                    match taker.progress() {
+                    match reader.progress() {
                         Progress::Ongoing => return,
                         Progress::Complete => self.outbox.push(&b"\r\n"[..]),
                         Progress::Broken => {
@@ -428,25 +435,25 @@
                         }
                     }
                 }
-                Some(Slot::Gathered(gathered)) => match gathered.gather() {
+                Some(Slot::Buffering(buffering)) => match buffering.poll_complete() {
                     Some(parts) => parts.into_iter().for_each(|part| self.outbox.push(part)),
                     None => return,
                 },
-                Some(Slot::Owed(_)) | None => return,
+                Some(Slot::Unanswered(_)) | None => return,
             }
             self.slots.pop_front();
         }
     }
 
-    fn ready(&mut self, line: &'static [u8]) {
+    fn push_answer(&mut self, line: &'static [u8]) {
         self.slots.push_back(Slot::Ready(vec![Bytes::from_static(line)]));
     }
 
-    /// A request is no longer open.
-    fn forget(&mut self, owed: &Owed) {
+    /// Releases the budget and the id of a request that is no longer open.
+    fn release(&mut self, owed: &Unanswered) {
         self.held -= owed.body;
-        self.common.budget.release(REQUEST_BYTES + owed.body);
-        self.common.open.borrow_mut().remove(&owed.id);
+        self.shared.budget.release(REQUEST_BYTES + owed.body);
+        self.shared.open.borrow_mut().remove(&owed.id);
     }
 }
 
@@ -454,61 +461,61 @@
     parts.iter().map(Bytes::len).sum()
 }
 
-/// Sixteen digits, as pieces and volumes are named.
+/// Whether a text is a valid name of a piece or a volume: sixteen hexadecimal digits.
 fn is_hex(text: &[u8]) -> bool {
     text.len() == HEX_DIGITS && text.iter().all(u8::is_ascii_hexdigit)
 }
 
-/// A number in digits alone: without a sign, as nodes read it.
-fn whole(text: &[u8]) -> Option<u32> {
+/// Parses a number that consists of digits only, without a sign, as nodes expect it.
+fn unsigned(text: &[u8]) -> Option<u32> {
     number(text).filter(|_| text.iter().all(u8::is_ascii_digit))
 }
 
 impl Session<Resp> for Client {
-    fn receive(&mut self, now: Time, read: &mut BytesMut, asks: &mut Vec<(Arrival, Command)>) {
-        // Over the limit the rest waits in the buffer; `answer` makes room and the driver asks again.
+    fn receive(&mut self, now: Time, read: &mut BytesMut, requests: &mut Vec<(Arrival, Command)>) {
+        // Over the limit, the remaining commands wait in the buffer; the driver calls this again after `answer` has freed a slot.
         while !self.ending && !self.is_full() {
             if self.upload.is_some() {
-                match self.body(now, read) {
+                match self.receive_body(now, read) {
                     true => continue,
                     false => break,
                 }
             }
             if let Some((words, length)) = decode_long_command(read) {
-                self.long(now, words, length, asks);
+                self.streamed_command(now, words, length, requests);
                 continue;
             }
-            let asked = match decode_command(read) {
+            let parsed = match decode_command(read) {
                 Ok(None) => break,
-                Ok(Some(value)) => self.command(now, value, asks),
+                Ok(Some(value)) => self.command(now, value, requests),
                 Err(_) => {
-                    // Where one command ends and the next begins is lost.
+                    // The boundary between commands is lost, so no further command can be parsed.
                     self.ending = true;
                     Err(&b"-ERR protocol error\r\n"[..])
                 }
             };
-            self.asked(asked);
+            self.push_parsed(parsed);
         }
         self.flush();
     }
 
     fn answer(&mut self, number: RequestId, answer: Answer<Reply>) {
-        let owed = |slot: &Slot| matches!(slot, Slot::Owed(owed) if owed.number == number);
+        let owed = |slot: &Slot| matches!(slot, Slot::Unanswered(owed) if owed.number == number);
         let Some(place) = self.slots.iter().position(owed) else { return self.flush() };
         let stands_alone = place + 1 == self.slots.len();
         let mut long = None;
         let parts = match answer {
-            Answer::Served(Reply::Streamed(taker, length))
+            Answer::Served(Reply::Streamed(reader, length))
                 if !stands_alone && self.values.resize(self.values.bytes() + length) =>
             {
-                long = Some(Slot::Gathered(Gathered { taker, length, parts: Vec::new() }));
+                long = Some(Slot::Buffering(Buffering { reader, length, parts: Vec::new() }));
                 Vec::new()
             }
-            Answer::Served(Reply::Streamed(taker, length)) => {
-                long = Some(Slot::Long(taker));
+            Answer::Served(Reply::Streamed(reader, length)) => {
+                long = Some(Slot::Streamed(reader));
                 vec![value_head(length)]
             }
-            // The client leaves more unread than there is room for.
+            // The client has more unread answers than the budget allows.
             Answer::Served(Reply::Buffered(value))
                 if !self.values.resize(self.values.bytes() + value.len()) =>
             {
@@ -521,8 +528,8 @@
             Answer::Refused(_) => vec![Bytes::from_static(BUSY)],
             Answer::Failed => vec![Bytes::from_static(FAILED)],
         };
-        if let Slot::Owed(owed) = std::mem::replace(&mut self.slots[place], Slot::Ready(parts)) {
-            self.forget(&owed);
+        if let Slot::Unanswered(owed) = std::mem::replace(&mut self.slots[place], Slot::Ready(parts)) {
+            self.release(&owed);
         }
         if let Some(long) = long {
             self.slots.insert(place + 1, long);
@@ -536,19 +543,19 @@
 
     fn wrote(&mut self, bytes: usize) {
         self.outbox.wrote(bytes);
-        // What waits behind an open request keeps its room, too, until all is written.
+        // Answers that wait behind an unanswered request keep their reservation until all is written.
         if self.outbox.is_empty() {
             let ready = |slot: &Slot| match slot {
                 Slot::Ready(parts) => size(parts),
-                Slot::Gathered(gathered) => gathered.length,
-                Slot::Owed(_) | Slot::Long(_) => 0,
+                Slot::Buffering(buffering) => buffering.length,
+                Slot::Unanswered(_) | Slot::Streamed(_) => 0,
             };
             self.values.resize(self.slots.iter().map(ready).sum::<usize>().min(self.values.bytes()));
         }
     }
 
     fn unanswered(&self) -> Vec<RequestId> {
-        let owed = |slot: &Slot| if let Slot::Owed(owed) = slot { Some(owed.number) } else { None };
+        let owed = |slot: &Slot| if let Slot::Unanswered(owed) = slot { Some(owed.number) } else { None };
         self.slots.iter().filter_map(owed).collect()
     }
 
@@ -558,16 +565,18 @@
 
     fn wakeup(&self) -> Option<Wakeup> {
         let put = match self.slots.front() {
-            Some(Slot::Long(taker)) if self.outbox.len() < MOST_AHEAD => Some(taker.wait_for_bytes()),
-            Some(Slot::Gathered(gathered)) => Some(gathered.taker.wait_for_bytes()),
+            Some(Slot::Streamed(reader)) if self.outbox.len() < MAX_STREAMED_AHEAD => {
+                Some(reader.wait_for_bytes())
+            }
+            Some(Slot::Buffering(buffering)) => Some(buffering.reader.wait_for_bytes()),
             _ => None,
         };
-        let taken = self.upload.as_ref().and_then(|u| u.giver.as_ref()).map(PipeWriter::wait_for_space);
+        let taken = self.upload.as_ref().and_then(|u| u.writer.as_ref()).map(PipeWriter::wait_for_space);
         either(put, taken)
     }
 
     fn is_streaming(&self) -> bool {
-        self.slots.iter().any(|slot| matches!(slot, Slot::Long(_) | Slot::Gathered(_)))
+        self.slots.iter().any(|slot| matches!(slot, Slot::Streamed(_) | Slot::Buffering(_)))
     }
 
     fn is_stream_broken(&self) -> bool {
@@ -575,20 +584,20 @@
     }
 
     fn take_complete_upload(&mut self) -> Option<(RequestId, Time)> {
-        self.whole.pop_front()
+        self.complete_uploads.pop_front()
     }
 
-    fn charge_unparsed(&mut self, untaken: usize) -> bool {
-        self.untaken.resize(untaken)
+    fn charge_unparsed(&mut self, unparsed: usize) -> bool {
+        self.unparsed.resize(unparsed)
     }
 
     fn is_full(&self) -> bool {
         if let Some(upload) = &self.upload {
-            return upload.giver.as_ref().is_some_and(|g| !g.is_abandoned() && g.space() == 0);
+            return upload.writer.as_ref().is_some_and(|g| !g.is_abandoned() && g.space() == 0);
         }
-        // Behind a value that may break off nothing is taken: it could not be answered any more.
-        let passes = self.slots.iter().any(|slot| matches!(slot, Slot::Long(_)));
-        passes || self.slots.len() >= MOST_SLOTS || self.held >= MOST_HELD
+        // No request is accepted behind a streamed value: if the value broke off, the request could not be answered any more.
+        let passes = self.slots.iter().any(|slot| matches!(slot, Slot::Streamed(_)));
+        passes || self.slots.len() >= MAX_SLOTS || self.held >= MAX_HELD
     }
 
     fn is_ending(&self) -> bool {
@@ -596,14 +605,14 @@
     }
 
     fn refuse_pending(&mut self) {
-        // As many as a client may write before it reads an answer: what it has written is not known.
-        (0..MOST_SLOTS).for_each(|_| self.ready(BUSY));
+        // The number of commands in transit is unknown, so this refuses as many as a client may send before it reads an answer.
+        (0..MAX_SLOTS).for_each(|_| self.push_answer(BUSY));
         self.flush();
     }
 
     fn reject_unfinished_command(&mut self) {
         self.ending = true;
-        self.ready(b"-ERR unfinished command\r\n");
+        self.push_answer(b"-ERR unfinished command\r\n");
         self.flush();
     }
 }
@@ -611,8 +620,8 @@
 impl Drop for Client {
     fn drop(&mut self) {
         for slot in std::mem::take(&mut self.slots) {
-            if let Slot::Owed(owed) = slot {
-                self.forget(&owed);
+            if let Slot::Unanswered(owed) = slot {
+                self.release(&owed);
             }
         }
     }
--- a/src/wire/session.rs
+++ b/src/wire/session.rs
@@ -251,11 +251,11 @@
         // The socket is read ahead so that a client that has closed is noticed even while its requests are unanswered. It is not
         // read any more once new requests would not be answered.
         let ahead = if has_unparsed { read.len() } else { 0 };
-        let room = session.charge_unparsed(
+        let within_budget = session.charge_unparsed(
             ahead.saturating_sub(READ_AHEAD) + if ahead < READ_AHEAD { 0 } else { READ_CHUNK },
         );
-        let reads_ahead =
-            !session.is_streaming() && (read.len() < READ_AHEAD || (room && read.len() < MAX_READ_AHEAD));
+        let reads_ahead = !session.is_streaming()
+            && (read.len() < READ_AHEAD || (within_budget && read.len() < MAX_READ_AHEAD));
         let reads = accepts || (may_read && reads_ahead);
         if !reads {
             not_read_since = not_read_since.or(Some(now));
@@ -379,7 +379,7 @@
 pub struct SessionContext<W: Wire> {
     /// The planner, which receives the sessions' requests.
     pub planner: UnboundedSender<Input<W>>,
-    /// Checks that every request is answered exactly once; told of each request, answer and close.
+    /// Checks that every request is answered exactly once; sessions report each request, answer and close to it.
     pub guard: Guard,
     /// The event loop's clock and scheduling lag.
     pub loop_clock: LoopClock,
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -56,7 +56,7 @@
     };
     let classes = [("read", Some(false)), ("write", Some(true)), ("both", None)];
     let classes = classes.into_iter().enumerate().map(class).collect();
-    let terms = RequestSchema { classes, plans: vec![("gold".into(), 0)], most_units: 6, shards: Some(9) };
+    let terms = RequestSchema { classes, plans: vec![("gold".into(), 0)], max_units: 6, shards: Some(9) };
     Rc::new(SharedState::new(terms, BufferBudget::new(room), tokio::sync::watch::channel(Phase::Serving).1))
 }
 
