--- a/src/wire/resp.rs
+++ b/src/wire/resp.rs
@@ -1,5 +1,5 @@
-//! RESP2: the platform's protocol. What both sides share; [`server`] speaks it with clients, [`client`] with
-//! nodes.
+//! RESP2, the object protocol of the platform. This module has the parsers and types that both sides share; [`server`] is
+//! the side that serves clients, [`client`] the side that connects to nodes.
 
 pub mod client;
 pub mod server;
@@ -19,52 +19,52 @@
 use winnow::token::{any, take, take_till, take_while};
 use winnow::{LocatingSlice, ModalResult, Parser, Partial};
 
-/// Longest value that is held whole. Longer ones are passed on while they come.
-pub const MOST_WHOLE: usize = 64 * 1024;
-/// Longest value that a client may send or a node may serve.
-pub const MOST_VALUE: usize = 4 * 1024 * 1024;
-/// Longest line.
-const MOST_LINE: usize = 4 * 1024;
-/// Most values in an array: no command or reply has more.
-const MOST_ITEMS: i64 = 16;
-/// Most bytes of a message beside its longest value.
-const MOST_BESIDE: usize = 16 * 1024;
-/// Arrays in arrays.
-const MOST_DEPTH: u8 = 2;
-
-/// A value of the protocol; texts are slices of the buffer they were read into.
+/// Longest value that is buffered completely, in bytes. Longer values are streamed.
+pub const MAX_BUFFERED_VALUE: usize = 64 * 1024;
+/// Longest value that a client may send or a node may serve, in bytes.
+pub const MAX_VALUE: usize = 4 * 1024 * 1024;
+/// Longest line, in bytes.
+const MAX_LINE: usize = 4 * 1024;
+/// Largest number of values in an array; no command or reply has more.
+const MAX_ITEMS: i64 = 16;
+/// Bytes that a message may have in addition to its longest value.
+const MAX_OVERHEAD: usize = 16 * 1024;
+/// Nesting depth of arrays.
+const MAX_DEPTH: u8 = 2;
+
+/// A protocol value. Texts are slices of the buffer into which they were read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Value {
-    /// A line of text.
+    /// A simple string: one line of text.
     Simple(Bytes),
     /// An error line.
     Error(Bytes),
-    /// A whole number.
+    /// An integer.
     Integer(i64),
-    /// A text with its length, or null.
+    /// A bulk string, which is sent with its length, or null.
     Bulk(Option<Bytes>),
-    /// Values, or null.
+    /// An array of values, or null.
     Array(Option<Vec<Value>>),
 }
 
-/// A value as places in the buffer, which is not yet split when it is found.
-enum Placed {
+/// A parsed value whose texts are positions in the read buffer, which is split only after the whole value was parsed.
+enum ParsedValue {
     Simple(Range<usize>),
     Error(Range<usize>),
     Integer(i64),
     Bulk(Option<Range<usize>>),
-    Array(Option<Vec<Placed>>),
+    Array(Option<Vec<ParsedValue>>),
 }
 
-impl Placed {
-    fn cut(self, frame: &Bytes) -> Value {
+impl ParsedValue {
+    fn into_value(self, frame: &Bytes) -> Value {
         match self {
-            Placed::Simple(at) => Value::Simple(frame.slice(at)),
-            Placed::Error(at) => Value::Error(frame.slice(at)),
-            Placed::Integer(n) => Value::Integer(n),
-            Placed::Bulk(at) => Value::Bulk(at.map(|at| frame.slice(at))),
-            Placed::Array(items) => {
-                Value::Array(items.map(|items| items.into_iter().map(|i| i.cut(frame)).collect()))
+            ParsedValue::Simple(at) => Value::Simple(frame.slice(at)),
+            ParsedValue::Error(at) => Value::Error(frame.slice(at)),
+            ParsedValue::Integer(n) => Value::Integer(n),
+            ParsedValue::Bulk(at) => Value::Bulk(at.map(|at| frame.slice(at))),
+            ParsedValue::Array(items) => {
+                Value::Array(items.map(|items| items.into_iter().map(|i| i.into_value(frame)).collect()))
             }
         }
     }
@@ -72,9 +72,9 @@
 
 type Input<'a> = Partial<LocatingSlice<&'a [u8]>>;
 
-/// A line; one that does not end in time is no line.
+/// Parses a line. Fails if no line end is found within [`MAX_LINE`] bytes.
 fn line(input: &mut Input) -> ModalResult<Range<usize>> {
-    if input.len() > MOST_LINE && !input[..MOST_LINE].contains(&b'\n') {
+    if input.len() > MAX_LINE && !input[..MAX_LINE].contains(&b'\n') {
         return fail(input);
     }
     let text = take_till(0.., |b| b == b'\r' || b == b'\n').span().parse_next(input)?;
@@ -88,38 +88,38 @@
     Ok(n)
 }
 
-fn bulk(most: usize, input: &mut Input) -> ModalResult<Placed> {
+fn bulk(most: usize, input: &mut Input) -> ModalResult<ParsedValue> {
     match length(input)? {
-        -1 => Ok(Placed::Bulk(None)),
+        -1 => Ok(ParsedValue::Bulk(None)),
         n if (0..=most as i64).contains(&n) => {
             let text = take(n as usize).span().parse_next(input)?;
             "\r\n".parse_next(input)?;
-            Ok(Placed::Bulk(Some(text)))
+            Ok(ParsedValue::Bulk(Some(text)))
         }
         _ => fail(input),
     }
 }
 
-fn array(most: usize, depth: u8, input: &mut Input) -> ModalResult<Placed> {
+fn array(most: usize, depth: u8, input: &mut Input) -> ModalResult<ParsedValue> {
     match length(input)? {
-        -1 => Ok(Placed::Array(None)),
-        // Nothing is set aside for the length a peer states: the items grow as they come.
-        n if (0..=MOST_ITEMS).contains(&n) && depth < MOST_DEPTH => {
+        -1 => Ok(ParsedValue::Array(None)),
+        // No memory is allocated for the length that the peer states: the list grows as its items arrive.
+        n if (0..=MAX_ITEMS).contains(&n) && depth < MAX_DEPTH => {
             let mut items = Vec::new();
             for _ in 0..n {
                 items.push(value(most, depth + 1, input)?);
             }
-            Ok(Placed::Array(Some(items)))
+            Ok(ParsedValue::Array(Some(items)))
         }
         _ => fail(input),
     }
 }
 
-fn value(most: usize, depth: u8, input: &mut Input) -> ModalResult<Placed> {
+fn value(most: usize, depth: u8, input: &mut Input) -> ModalResult<ParsedValue> {
     dispatch! {any;
-        b'+' => line.map(Placed::Simple),
-        b'-' => line.map(Placed::Error),
-        b':' => length.map(Placed::Integer),
+        b'+' => line.map(ParsedValue::Simple),
+        b'-' => line.map(ParsedValue::Error),
+        b':' => length.map(ParsedValue::Integer),
         b'$' => |input: &mut Input| bulk(most, input),
         b'*' => |input: &mut Input| array(most, depth, input),
         _ => fail,
@@ -127,100 +127,103 @@
     .parse_next(input)
 }
 
-/// Takes one whole value of a node off the front of what was read; nothing while it is not whole.
+/// Parses and removes one complete value from the front of what a node has sent. Returns `None` while the value is incomplete.
 pub fn decode(read: &mut BytesMut) -> Result<Option<Value>, ProtocolError> {
-    take_whole(MOST_WHOLE, read, |input| value(MOST_WHOLE, 0, input))
+    take_complete(MAX_BUFFERED_VALUE, read, |input| value(MAX_BUFFERED_VALUE, 0, input))
 }
 
-/// The same of a client's command: whatever does not begin as an array is noise, and its end is not waited
-/// for.
+/// Parses and removes one complete command of a client, like [`decode`]. Data that does not begin an array is an error at
+/// once, without waiting for the end of its line.
 pub fn decode_command(read: &mut BytesMut) -> Result<Option<Value>, ProtocolError> {
-    let command = |input: &mut Input| array(MOST_WHOLE, 0, input);
-    take_whole(MOST_WHOLE, read, |input| preceded(b'*', command).parse_next(input))
+    let command = |input: &mut Input| array(MAX_BUFFERED_VALUE, 0, input);
+    take_complete(MAX_BUFFERED_VALUE, read, |input| preceded(b'*', command).parse_next(input))
 }
 
-/// The length of a value that is passed on while it comes.
+/// Parses the header of a value that is long enough to be streamed, and returns its length.
 fn long(input: &mut Input) -> ModalResult<usize> {
-    let long = preceded(b'$', length).verify(|n| (MOST_WHOLE as i64 + 1..=MOST_VALUE as i64).contains(n));
+    let long =
+        preceded(b'$', length).verify(|n| (MAX_BUFFERED_VALUE as i64 + 1..=MAX_VALUE as i64).contains(n));
     long.map(|n| n as usize).parse_next(input)
 }
 
-/// Takes what stands before a long value off the front of a reply: how many items it has, and how long the first one
-/// is. Nothing where the reply is none, or not known to be one yet.
+/// Parses and removes the header of a reply whose first item is a long value: returns the number of items and the length of
+/// the value. Returns `None` if the reply has no long value, or if too little was read to tell.
 pub fn decode_long(read: &mut BytesMut) -> Option<(usize, usize)> {
     let mut input = Partial::new(LocatingSlice::new(&read[..]));
-    let items = preceded(b'*', length).verify(|n| (1..=MOST_ITEMS).contains(n));
+    let items = preceded(b'*', length).verify(|n| (1..=MAX_ITEMS).contains(n));
     let (items, value) = (items, long).parse_next(&mut input).ok()?;
     let _ = read.split_to(input.current_token_start());
     Some((items as usize, value))
 }
 
-/// Takes what follows a long value: so many further items.
+/// Parses and removes what follows a long value in a reply: the line end and `items` further values.
 pub fn decode_rest(items: usize, read: &mut BytesMut) -> Result<Option<Value>, ProtocolError> {
-    take_whole(MOST_LINE, read, |input| {
+    take_complete(MAX_LINE, read, |input| {
         "\r\n".parse_next(input)?;
-        let rest = (0..items).map(|_| value(MOST_LINE, 1, input)).collect::<ModalResult<_>>()?;
-        Ok(Placed::Array(Some(rest)))
+        let rest = (0..items).map(|_| value(MAX_LINE, 1, input)).collect::<ModalResult<_>>()?;
+        Ok(ParsedValue::Array(Some(rest)))
     })
 }
 
-/// The same for a command whose fifth word is a long value: its other words.
+/// Parses and removes the head of a command whose fifth word is a long value: returns the other words and the length of
+/// the value. Returns `None` if the command has no long value, or if too little was read to tell.
 pub fn decode_long_command(read: &mut BytesMut) -> Option<(Value, usize)> {
     let mut input = Partial::new(LocatingSlice::new(&read[..]));
     let words = |input: &mut Input| {
         preceded(b'*', length).verify(|n| *n == 5).parse_next(input)?;
-        let words = (0..4).map(|_| preceded(b'$', |i: &mut Input| bulk(MOST_LINE, i)).parse_next(input));
-        Ok(Placed::Array(Some(words.collect::<ModalResult<_>>()?)))
+        let words = (0..4).map(|_| preceded(b'$', |i: &mut Input| bulk(MAX_LINE, i)).parse_next(input));
+        Ok(ParsedValue::Array(Some(words.collect::<ModalResult<_>>()?)))
     };
     let (words, value) = (words, long).parse_next(&mut input).ok()?;
     let frame = read.split_to(input.current_token_start()).freeze();
-    Some((words.cut(&frame), value))
+    Some((words.into_value(&frame), value))
 }
 
-fn take_whole(
+fn take_complete(
     most: usize,
     read: &mut BytesMut,
-    mut parser: impl FnMut(&mut Input) -> ModalResult<Placed>,
+    mut parser: impl FnMut(&mut Input) -> ModalResult<ParsedValue>,
 ) -> Result<Option<Value>, ProtocolError> {
     let mut input = Partial::new(LocatingSlice::new(&read[..]));
     match parser(&mut input) {
         Ok(placed) => {
             let end = input.current_token_start();
             let frame = read.split_to(end).freeze();
-            Ok(Some(placed.cut(&frame)))
+            Ok(Some(placed.into_value(&frame)))
         }
-        Err(ErrMode::Incomplete(_)) if read.len() <= most + MOST_BESIDE => Ok(None),
-        Err(ErrMode::Incomplete(_)) => Err(ProtocolError("message too long")),
+        Err(ErrMode::Incomplete(_)) if read.len() <= most + MAX_OVERHEAD => Ok(None),
+        Err(ErrMode::Incomplete(_)) => Err(ProtocolError("message exceeds the length limit")),
         Err(_) => Err(ProtocolError("not RESP2")),
     }
 }
 
-/// A request as a node gets it: what the client wrote, but for the time that is left.
+/// A request as it is sent to a node: the client's words, with the deadline replaced by the remaining time.
 #[derive(Debug, Clone)]
 pub struct Command {
     verb: &'static str,
     piece: Bytes,
     id: Bytes,
     fields: Bytes,
-    /// Where the value of `d` stands in `fields`.
+    /// Position of the value of `d`, the client's deadline, in `fields`.
     deadline: Range<usize>,
     body: Option<Body>,
 }
 
-/// What a command brings.
+/// The body of a command.
 #[derive(Debug, Clone)]
 enum Body {
+    /// A body that was received completely.
     Buffered(Bytes),
-    /// So many bytes, which come while they are sent on.
+    /// A body of the given length that is sent to the node while it arrives from the client.
     Streamed(PipeReader, usize),
 }
 
-/// What a node has served.
+/// The value that a node has served.
 #[derive(Debug)]
 pub enum Reply {
-    /// A value.
+    /// A value that was received completely.
     Buffered(Bytes),
-    /// One of so many bytes that is passed on while it comes.
+    /// A value of the given length that is sent to the client while it arrives from the node.
     Streamed(PipeReader, usize),
 }
 
@@ -231,19 +234,20 @@
 }
 
 impl PartialEq for Reply {
-    /// Two that are still on their way are never known to be the same.
+    /// Streamed values are never equal: their content is not known yet.
     fn eq(&self, other: &Self) -> bool {
         matches!((self, other), (Reply::Buffered(a), Reply::Buffered(b)) if a == b)
     }
 }
 
 impl Command {
-    /// Writes the command with `left` in place of the client's own deadline; gives the body that is to follow. Of a
-    /// long one it is not known how long its answer is waited for: that counts from its last byte.
+    /// Writes the command with the remaining time `left` in place of the client's deadline. Returns the reader of a streamed
+    /// body, which must be sent next. The deadline of a request with a streamed body counts from the body's last byte.
     fn write(self, left: Time, out: &mut Outbox) -> Option<PipeReader> {
         let mut left_ms = (left / 1000).max(1);
         if matches!(self.body, Some(Body::Streamed(..))) {
-            // How long its body will take is not known; its client waits no longer than it said from the last byte on.
+            // How long the transfer of the body will take is not known, but after its last byte the client waits no longer
+            // than it stated.
             let own = number::<Time>(&self.fields[self.deadline.clone()]).unwrap_or(left_ms);
             left_ms = left_ms.min(own);
         }
@@ -263,10 +267,10 @@
         head.extend_from_slice(b"\r\n");
         match self.body {
             None => out.push(head),
-            Some(Body::Streamed(taker, length)) => {
+            Some(Body::Streamed(reader, length)) => {
                 head.extend_from_slice(format!("${length}\r\n").as_bytes());
                 out.push(head);
-                return Some(taker);
+                return Some(reader);
             }
             Some(Body::Buffered(body)) => {
                 head.extend_from_slice(format!("${}\r\n", body.len()).as_bytes());
@@ -279,7 +283,7 @@
     }
 }
 
-/// RESP2 as the planner's wire.
+/// RESP2 as a wire protocol of the planner.
 #[derive(Debug, Clone, Copy)]
 pub struct Resp;
 
@@ -294,11 +298,11 @@
     }
 
     fn is_body_consumed(request: &Command) -> bool {
-        matches!(&request.body, Some(Body::Streamed(taker, _)) if taker.is_consumed())
+        matches!(&request.body, Some(Body::Streamed(reader, _)) if reader.is_consumed())
     }
 }
 
-/// Names and values set apart by commas.
+/// Parses a list of `name=value` pairs that are separated by commas.
 fn fields(text: &[u8]) -> Option<Vec<(&[u8], &[u8])>> {
     fn pair<'a>(input: &mut &'a [u8]) -> ModalResult<(&'a [u8], &'a [u8])> {
         separated_pair(take_till(1.., [b'=', b',']), b'=', take_while(0.., |b| b != b',')).parse_next(input)
--- a/src/wire/resp/client.rs
+++ b/src/wire/resp/client.rs
@@ -1,4 +1,4 @@
-//! The client's side of RESP2: a connection to a node.
+//! The client side of RESP2: the protocol state of one connection to a node.
 
 use super::*;
 use crate::interface::Ending;
@@ -10,45 +10,47 @@
 };
 use std::collections::VecDeque;
 
-/// How long nothing may come of a long reply while its client reads on.
-const LONG: Time = 5_000_000;
-/// A body that has not come whole yet: its end is nowhere.
-const NOWHERE: u64 = u64::MAX;
+/// How long a streamed reply may make no progress while its client keeps reading, in microseconds.
+const STREAM_STALL_TIMEOUT: Time = 5_000_000;
+/// End position of a request whose body is still being received from the client.
+const END_UNKNOWN: u64 = u64::MAX;
 
-/// A connection to a node.
+/// The protocol state of one connection to a node.
 #[derive(Debug, Default)]
 pub struct Node {
     outbox: Outbox,
-    /// What is out, in the order of the answers, each with the positions of its first byte and behind its last.
-    out: VecDeque<(AttemptId, u64, u64)>,
-    /// A body on its way, the last of what is out.
+    /// Attempts without a reply, in the order of their replies, each with the outbox positions of its first byte and of the
+    /// byte after its last.
+    pending: VecDeque<(AttemptId, u64, u64)>,
+    /// The request body that is being sent; it belongs to the last attempt in `pending`.
     sending: Option<PipeReader>,
-    /// A long reply on its way.
-    passing: Option<Passing>,
+    /// The long reply that is being received.
+    streamed: Option<StreamedReply>,
     flow: Option<ReplyProgress<Reply>>,
     budget: BufferBudget,
 }
 
-/// A long reply on its way.
+/// A long reply that is being received.
 #[derive(Debug)]
-struct Passing {
-    giver: PipeWriter,
-    /// Bytes of the value that are still to come.
+struct StreamedReply {
+    writer: PipeWriter,
+    /// Bytes of the value still to be received.
     left: usize,
-    /// Items that follow it.
+    /// Number of items that follow the value in the reply.
     items: usize,
 }
 
-/// The figures on use in a text such as `used=37,cost=4`: use as a part of the plan's rate, and units.
-fn figures(text: &[u8]) -> (Option<f64>, f64) {
+/// Parses the usage report of a text such as `used=37,cost=4`: the used fraction of the plan's rate, and the units that were
+/// served elsewhere.
+fn usage(text: &[u8]) -> (Option<f64>, f64) {
     let pairs = fields(text).unwrap_or_default();
     let find = |name: &[u8]| pairs.iter().find(|(n, _)| *n == name).and_then(|(_, v)| number::<f64>(v));
     let sane = |v: &f64| v.is_finite() && *v >= 0.0;
     (find(b"used").filter(sane).map(|v| v / 100.0), find(b"cost").filter(sane).unwrap_or(0.0))
 }
 
-/// How busy a load report says the cores are.
-fn busy(text: &[u8]) -> Option<f64> {
+/// Parses the utilisation of the node's cores from a load report.
+fn core_utilisation(text: &[u8]) -> Option<f64> {
     let find = |(name, value): &(&[u8], &[u8])| (*name == b"busy").then(|| number(value)).flatten();
     fields(text)?.iter().find_map(find).filter(|v: &f64| v.is_finite())
 }
@@ -59,16 +61,16 @@
             let mut texts = items.into_iter().map(|i| if let Value::Bulk(text) = i { text } else { None });
             let value = texts.next().flatten();
             let (volume_use, served_elsewhere) =
-                texts.next().flatten().map_or((None, 0.0), |text| figures(&text));
-            let util = texts.next().flatten().and_then(|text| busy(&text));
-            // A null value is nothing to serve a client with, but the node ran the request.
+                texts.next().flatten().map_or((None, 0.0), |text| usage(&text));
+            let util = texts.next().flatten().and_then(|text| core_utilisation(&text));
+            // A null value cannot be served to a client, but it shows that the node ran the request.
             let ending = if value.is_some() { Ending::Served } else { Ending::Error };
             Ok(AttemptEnd { ending, reply: value.map(Reply::Buffered), volume_use, served_elsewhere, util })
         }
         Value::Error(text) => {
             let busy = text.strip_prefix(b"BUSY").is_some_and(|rest| rest.first().is_none_or(|b| *b == b' '));
-            let figures_at = text.iter().rposition(|b| *b == b' ').map_or(text.len(), |at| at + 1);
-            let (volume_use, served_elsewhere) = figures(&text[figures_at..]);
+            let usage_at = text.iter().rposition(|b| *b == b' ').map_or(text.len(), |at| at + 1);
+            let (volume_use, served_elsewhere) = usage(&text[usage_at..]);
             let ending = if busy { Ending::Full } else { Ending::Error };
             Ok(AttemptEnd { ending, reply: None, volume_use, served_elsewhere, util: None })
         }
@@ -77,26 +79,26 @@
 }
 
 impl Node {
-    /// A connection whose windows are charged to this room.
+    /// Creates the state of a new connection. The windows of its streamed replies are charged to the given budget.
     pub fn new(budget: BufferBudget) -> Self {
         Node { budget, ..Node::default() }
     }
 
-    /// Passes on what has come of a long reply; true when it has come to its end.
-    fn pass(&mut self, read: &mut BytesMut) -> Result<bool, ProtocolError> {
-        let Some(passing) = &mut self.passing else { return Ok(false) };
-        if passing.giver.is_abandoned() {
-            // Its client is gone. Nothing else can be had of this connection before all of it has come.
-            return Err(ProtocolError("nobody reads on"));
+    /// Moves received bytes of a long reply into its window. Returns true when the reply is complete.
+    fn receive_streamed(&mut self, read: &mut BytesMut) -> Result<bool, ProtocolError> {
+        let Some(streamed) = &mut self.streamed else { return Ok(false) };
+        if streamed.writer.is_abandoned() {
+            // The client is gone. The connection cannot carry another reply before the rest of this one has been received.
+            return Err(ProtocolError("the client no longer reads the reply"));
         }
-        let n = passing.left.min(read.len()).min(passing.giver.space());
-        passing.giver.put(read.split_to(n).freeze());
-        passing.left -= n;
-        if passing.left > 0 || decode_rest(passing.items, read)?.is_none() {
+        let n = streamed.left.min(read.len()).min(streamed.writer.space());
+        streamed.writer.put(read.split_to(n).freeze());
+        streamed.left -= n;
+        if streamed.left > 0 || decode_rest(streamed.items, read)?.is_none() {
             return Ok(false);
         }
-        if let Some(passing) = self.passing.take() {
-            passing.giver.finish();
+        if let Some(streamed) = self.streamed.take() {
+            streamed.writer.finish();
         }
         Ok(true)
     }
@@ -106,8 +108,8 @@
     fn send(&mut self, tag: AttemptId, left: Time, request: Command) {
         let start = self.outbox.end();
         self.sending = request.write(left, &mut self.outbox);
-        let end = if self.sending.is_some() { NOWHERE } else { self.outbox.end() };
-        self.out.push_back((tag, start, end));
+        let end = if self.sending.is_some() { END_UNKNOWN } else { self.outbox.end() };
+        self.pending.push_back((tag, start, end));
     }
 
     fn can_send(&self) -> bool {
@@ -115,7 +117,7 @@
     }
 
     fn is_idle(&self) -> bool {
-        self.out.is_empty() && self.passing.is_none()
+        self.pending.is_empty() && self.streamed.is_none()
     }
 
     fn outbox(&mut self) -> &mut Outbox {
@@ -124,20 +126,20 @@
 
     fn receive(&mut self, read: &mut BytesMut, ended: &mut Vec<Ended<Reply>>) -> Result<(), ProtocolError> {
         loop {
-            if self.passing.is_some() {
-                if self.pass(read)? {
+            if self.streamed.is_some() {
+                if self.receive_streamed(read)? {
                     self.flow = Some(ReplyProgress::Complete);
                 }
                 return Ok(());
             }
             if let Some((items, left)) = decode_long(read) {
-                let (tag, _, sent) = self.out.pop_front().ok_or(UNSOLICITED_REPLY)?;
-                if sent == NOWHERE {
-                    return Err(ProtocolError("a reply before the request was whole"));
+                let (tag, _, sent) = self.pending.pop_front().ok_or(UNSOLICITED_REPLY)?;
+                if sent == END_UNKNOWN {
+                    return Err(ProtocolError("reply received before the request was sent completely"));
                 }
-                let (giver, taker) = pipe(&self.budget, MOST_VALUE);
-                self.passing = Some(Passing { giver, left, items: items - 1 });
-                let reply = Some(Reply::Streamed(taker, left));
+                let (writer, reader) = pipe(&self.budget, MAX_VALUE);
+                self.streamed = Some(StreamedReply { writer, left, items: items - 1 });
+                let reply = Some(Reply::Streamed(reader, left));
                 self.flow = Some(ReplyProgress::Begun(
                     tag,
                     AttemptEnd { reply, ..AttemptEnd::without_reply(Ending::Served) },
@@ -145,17 +147,21 @@
                 return Ok(());
             }
             let Some(value) = decode(read)? else {
-                // Not even the beginning of a reply may come before a request: the next reply would be taken for its rest.
-                let unasked = self.out.is_empty() && !read.is_empty();
-                return if unasked { Err(ProtocolError("bytes that nothing asked for")) } else { Ok(()) };
+                // No byte of a reply may arrive before a request was sent: the next reply would be parsed as its continuation.
+                let unasked = self.pending.is_empty() && !read.is_empty();
+                return if unasked {
+                    Err(ProtocolError("reply bytes received without a pending request"))
+                } else {
+                    Ok(())
+                };
             };
             let end = ending_of(value)?;
-            let (tag, _, sent) = self.out.pop_front().ok_or(UNSOLICITED_REPLY)?;
+            let (tag, _, sent) = self.pending.pop_front().ok_or(UNSOLICITED_REPLY)?;
             ended.push((tag, end));
-            if sent == NOWHERE {
-                // What is left of the body would be taken for the next command.
+            if sent == END_UNKNOWN {
+                // The node would parse the rest of the body as the next command.
                 self.sending = None;
-                return Err(ProtocolError("a reply before the request was whole"));
+                return Err(ProtocolError("reply received before the request was sent completely"));
             }
         }
     }
@@ -165,17 +171,19 @@
     }
 
     fn fill(&mut self) -> Result<(), ProtocolError> {
-        while let Some(taker) = &self.sending {
+        while let Some(reader) = &self.sending {
             if self.outbox.len() >= WINDOW as u64 {
                 return Ok(());
             }
-            match (taker.take(), taker.progress()) {
+            match (reader.take(), reader.progress()) {
                 (Some(bytes), _) => self.outbox.push(bytes),
                 (None, Progress::Ongoing) => return Ok(()),
-                (None, Progress::Broken) => return Err(ProtocolError("the rest of a body will not come")),
+                (None, Progress::Broken) => {
+                    return Err(ProtocolError("the client did not send the complete body"))
+                }
                 (None, Progress::Complete) => {
                     self.outbox.push(&b"\r\n"[..]);
-                    if let Some(last) = self.out.back_mut() {
+                    if let Some(last) = self.pending.back_mut() {
                         last.2 = self.outbox.end();
                     }
                     self.sending = None;
@@ -186,12 +194,12 @@
     }
 
     fn wants_read(&self, unread: usize) -> bool {
-        self.passing.as_ref().is_none_or(|p| p.left <= unread || p.giver.space() > unread)
+        self.streamed.as_ref().is_none_or(|p| p.left <= unread || p.writer.space() > unread)
     }
 
     fn read_timeout(&self, unread: usize) -> Option<Time> {
-        match &self.passing {
-            Some(_) => self.wants_read(unread).then_some(LONG),
+        match &self.streamed {
+            Some(_) => self.wants_read(unread).then_some(STREAM_STALL_TIMEOUT),
             None => (unread > 0).then_some(REPLY_STALL_TIMEOUT),
         }
     }
@@ -202,16 +210,16 @@
             .as_ref()
             .filter(|_| self.outbox.len() < WINDOW as u64)
             .map(PipeReader::wait_for_bytes);
-        let taken = self.passing.as_ref().map(|p| p.giver.wait_for_space());
+        let taken = self.streamed.as_ref().map(|p| p.writer.wait_for_space());
         either(put, taken)
     }
 
     fn cancel_unsent(&mut self) -> Vec<AttemptId> {
-        let begun = self.out.iter().take_while(|(_, start, _)| self.outbox.has_begun(*start)).count();
-        let back: Vec<(AttemptId, u64, u64)> = self.out.drain(begun..).collect();
+        let begun = self.pending.iter().take_while(|(_, start, _)| self.outbox.has_begun(*start)).count();
+        let back: Vec<(AttemptId, u64, u64)> = self.pending.drain(begun..).collect();
         if let Some((_, start, _)) = back.first() {
             self.outbox.truncate(*start);
-            // A body on its way belongs to the last of what was out.
+            // A body that is being sent belongs to the last attempt in `pending`, which is withdrawn here.
             self.sending = None;
         }
         back.into_iter().map(|(tag, ..)| tag).collect()
@@ -219,7 +227,7 @@
 
     fn connection_lost(&mut self) -> Vec<Ended<Reply>> {
         let outbox = &self.outbox;
-        self.out
+        self.pending
             .drain(..)
             .map(|(tag, _, at)| (tag, AttemptEnd::without_reply(ending_after_loss(outbox, at))))
             .collect()
