--- a/src/run/peers.rs
+++ b/src/run/peers.rs
@@ -80,7 +80,7 @@
                                 let _ = outbox.try_send(message);
                             }
                         }
-                        turn.agreed.into_iter().for_each(&mut apply);
+                        turn.committed.into_iter().for_each(&mut apply);
                     }
                     Err(error) => return stop(error),
                 }
--- a/src/state/accept_queue/tests.rs
+++ b/src/state/accept_queue/tests.rs
@@ -1,23 +1,23 @@
-//! What a front knows of its accept queue.
+//! Tests of the estimated wait in the accept queue.
 
 use super::*;
 
-/// Guards against requests whose time is counted from the accept though they waited for it.
+/// Guards against requests whose time is counted from the accept although they waited in the queue before it.
 #[test]
-fn what_waits_counts_from_when_nothing_was_accepted_any_more() {
+fn waiting_connections_count_from_the_moment_when_accepting_stopped() {
     let mut queue = AcceptQueue::of_own_socket();
     assert_eq!((queue.earliest_arrival(500), queue.pressure(500)), (500, AcceptPressure::Normal));
     queue.mark_waiting(1_000);
     queue.mark_waiting(50_000);
-    assert_eq!(queue.earliest_arrival(60_000), 1_000, "the first moment holds");
+    assert_eq!(queue.earliest_arrival(60_000), 1_000, "the earlier of two marks holds");
     assert_eq!(queue.pressure(1_000 + LONG_WAIT), AcceptPressure::Normal);
     assert_eq!(queue.pressure(1_001 + LONG_WAIT), AcceptPressure::High);
-    assert_eq!(queue.pressure(1_001 + TOO_LONG_WAIT), AcceptPressure::Urgent);
+    assert_eq!(queue.pressure(1_001 + CRITICAL_WAIT), AcceptPressure::Urgent);
     queue.mark_empty();
     assert_eq!(queue.earliest_arrival(200_000), 200_000);
 }
 
-/// Guards against the clock of this process being taken for that of a queue which is older than the process.
+/// Guards against counting the wait from the start of this process when the queue is older than the process.
 #[test]
 fn a_shared_queue_is_unattended_until_it_was_seen_empty() {
     let mut queue = AcceptQueue::of_shared_socket(7_000);
--- a/src/state/agreement.rs
+++ b/src/state/agreement.rs
@@ -1,6 +1,8 @@
-//! What a few instances agree on by Raft: the shared part of the NBD configuration, never load or request
-//! state. The consensus is the `raft` crate's; here its turns are driven and what must be kept is kept.
-//! Knows no socket: messages come and go as values.
+//! Replicates the shared part of the NBD configuration among a few brokers with Raft. Load and request state are never
+//! replicated.
+//!
+//! The `raft` crate implements the consensus. This module drives it and persists its state. It opens no socket: the
+//! caller passes and receives messages as values.
 
 use bytes::Bytes;
 use protobuf::Message as _;
@@ -9,61 +11,61 @@
 use raft::{Config, RawNode, StateRole};
 use std::path::PathBuf;
 
-/// Ticks without a leader before an election.
+/// Number of ticks without a leader before an election.
 const ELECTION_TICKS: usize = 10;
-/// Ticks between a leader's heartbeats.
+/// Number of ticks between heartbeats of the leader.
 const HEARTBEAT_TICKS: usize = 2;
-/// Ticks after which a value that was put forward and not agreed on is put forward again.
-const PRESS_TICKS: usize = 20;
-/// Most bytes of an entry in a file: a guard against one that is something else.
-const MOST_KEPT: u32 = 1 << 20;
+/// Number of ticks after which a proposed value that is not committed is proposed again.
+const REPROPOSE_TICKS: usize = 20;
+/// Maximum bytes of a record in the log file; a larger length means that the file is not a log of this program.
+const MAX_RECORD_BYTES: u32 = 1 << 20;
 
-/// What kept agreement from going on.
+/// Errors of the replication.
 #[derive(Debug, thiserror::Error)]
 pub enum AgreementError {
-    /// The consensus refused.
+    /// The `raft` crate returned an error.
     #[error("raft: {0}")]
     Raft(#[from] raft::Error),
-    /// What must outlive a restart could not be kept.
+    /// The log file could not be read or written.
     #[error("{path}: {error}")]
     Store {
-        /// The file.
+        /// Path of the log file.
         path: String,
-        /// What writing or reading it said.
+        /// The I/O error.
         error: std::io::Error,
     },
-    /// What was kept cannot be read.
+    /// The log file does not have the expected format.
     #[error("{0}: not a log of this program")]
     Damaged(String),
 }
 
-/// What a turn brought.
+/// The result of [`Agreement::turn`].
 #[derive(Debug, Default)]
 pub struct Turn {
-    /// Messages for peers.
+    /// Messages to send to peers.
     pub messages: Vec<Message>,
-    /// Values agreed on, in their order.
-    pub agreed: Vec<Bytes>,
+    /// Newly committed values, in log order.
+    pub committed: Vec<Bytes>,
 }
 
-/// One instance's part in the agreement.
+/// The Raft state of one broker.
 pub struct Agreement {
     node: RawNode<MemStorage>,
     storage: MemStorage,
     entries: Vec<Entry>,
     file: Option<PathBuf>,
-    /// A value that has not been agreed on yet, and the ticks until it is put forward again.
-    wish: Option<(Bytes, usize)>,
+    /// A value that is not committed yet, and the number of ticks until it is proposed again.
+    proposal: Option<(Bytes, usize)>,
 }
 
 impl Agreement {
-    /// Instance `id` of `peers`. What it has promised and seen is kept in `file`: an instance that forgot
-    /// its vote could give a second one. Without a file it must not be started twice under one number.
+    /// Creates member `id` of `peers`. Its votes and log are stored in `file`, because a member that forgets its vote could
+    /// vote twice in one term. Without a file, a member must not be started twice under the same id.
     pub fn new(id: u64, peers: &[u64], file: Option<PathBuf>) -> Result<Self, AgreementError> {
         let storage = MemStorage::new_with_conf_state(ConfState::from((peers.to_vec(), Vec::new())));
-        let kept = file.as_ref().map_or(Ok(None), load)?;
+        let stored = file.as_ref().map_or(Ok(None), load)?;
         let mut entries = Vec::new();
-        if let Some((state, log)) = kept {
+        if let Some((state, log)) = stored {
             storage.wl().append(&log)?;
             storage.wl().set_hardstate(state);
             entries = log;
@@ -79,53 +81,54 @@
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let node = RawNode::new(&config, storage.clone(), &logger)?;
-        Ok(Agreement { node, storage, entries, file, wish: None })
+        Ok(Agreement { node, storage, entries, file, proposal: None })
     }
 
-    /// Lets a tick of time pass.
+    /// Advances the Raft clock by one tick.
     pub fn tick(&mut self) {
         self.node.tick();
         self.repropose();
     }
 
-    /// Takes a message of a peer. One that makes no sense here is dropped, as one lost on the way would be.
+    /// Handles a message from a peer. An invalid message is dropped, which has the same effect as a lost one.
     pub fn step(&mut self, message: Message) {
         if let Err(error) = self.node.step(message) {
             tracing::debug!(%error, "message of a peer dropped");
         }
     }
 
-    /// Wishes a value to be agreed on. It is put forward until it is: what goes to a leader that has just
-    /// gone is lost.
+    /// Proposes a value, and repeats the proposal until the value is committed, because a proposal sent to a leader that
+    /// has just failed is lost.
     pub fn propose(&mut self, value: Bytes) {
-        self.wish = Some((value, 0));
+        self.proposal = Some((value, 0));
         self.repropose();
     }
 
-    /// Whether this instance leads and nothing has ever been put into the log but the leader's empty entry.
+    /// Returns whether this member leads and the log contains no value, only empty entries of leaders.
     pub fn leads_an_empty_log(&self) -> bool {
         self.node.raft.state == StateRole::Leader
             && self.entries.iter().all(|e| e.data.is_empty())
-            && self.wish.is_none()
+            && self.proposal.is_none()
     }
 
+    /// Proposes the pending value if its wait is over and a leader is known.
     fn repropose(&mut self) {
-        let Some((value, wait)) = &mut self.wish else { return };
+        let Some((value, wait)) = &mut self.proposal else { return };
         *wait = wait.saturating_sub(1);
-        let led = self.node.raft.leader_id != raft::INVALID_ID;
-        if *wait == 0 && led && self.node.propose(Vec::new(), value.to_vec()).is_ok() {
-            *wait = PRESS_TICKS;
+        let has_leader = self.node.raft.leader_id != raft::INVALID_ID;
+        if *wait == 0 && has_leader && self.node.propose(Vec::new(), value.to_vec()).is_ok() {
+            *wait = REPROPOSE_TICKS;
         }
     }
 
-    /// Takes what the consensus has ready. What must outlive a restart is kept before any message goes out
-    /// that relies on it.
+    /// Processes everything that the `raft` crate has ready. State that must survive a restart is written to the file
+    /// before any message that depends on it is returned.
     pub fn turn(&mut self) -> Result<Turn, AgreementError> {
         let mut turn = Turn::default();
         while self.node.has_ready() {
             let mut ready = self.node.ready();
             turn.messages.extend(ready.take_messages());
-            take(&mut turn.agreed, ready.take_committed_entries());
+            collect_values(&mut turn.committed, ready.take_committed_entries());
             let mut changed = false;
             if !ready.entries().is_empty() {
                 self.storage.wl().append(ready.entries())?;
@@ -137,7 +140,7 @@
                 changed = true;
             }
             if changed {
-                self.keep()?;
+                self.store()?;
             }
             turn.messages.extend(ready.take_persisted_messages());
             let mut light = self.node.advance(ready);
@@ -145,17 +148,17 @@
                 self.storage.wl().mut_hard_state().set_commit(commit);
             }
             turn.messages.extend(light.take_messages());
-            take(&mut turn.agreed, light.take_committed_entries());
+            collect_values(&mut turn.committed, light.take_committed_entries());
             self.node.advance_apply();
         }
-        if self.wish.as_ref().is_some_and(|(value, _)| turn.agreed.contains(value)) {
-            self.wish = None;
+        if self.proposal.as_ref().is_some_and(|(value, _)| turn.committed.contains(value)) {
+            self.proposal = None;
         }
         Ok(turn)
     }
 
-    /// Writes state and log to a new file and puts it in the place of the last.
-    fn keep(&self) -> Result<(), AgreementError> {
+    /// Writes the state and the log to a new file, then renames it over the previous one.
+    fn store(&self) -> Result<(), AgreementError> {
         let Some(path) = &self.file else { return Ok(()) };
         let state = self.storage.rl().hard_state().clone();
         let mut bytes = Vec::new();
@@ -178,7 +181,7 @@
     }
 }
 
-/// Adds entries to a log, in place of what it has from the first one's index on.
+/// Appends entries to a log after removing all entries from the index of the first new one on.
 fn append(log: &mut Vec<Entry>, new: &[Entry]) {
     if let Some(first) = new.first() {
         log.retain(|e| e.index < first.index);
@@ -186,12 +189,14 @@
     }
 }
 
-fn take(agreed: &mut Vec<Bytes>, entries: Vec<Entry>) {
+/// Adds the values of committed entries; empty entries and configuration changes carry none.
+fn collect_values(committed: &mut Vec<Bytes>, entries: Vec<Entry>) {
     let values =
         entries.into_iter().filter(|e| e.get_entry_type() == EntryType::EntryNormal && !e.data.is_empty());
-    agreed.extend(values.map(|e| Bytes::from(e.data.to_vec())));
+    committed.extend(values.map(|e| Bytes::from(e.data.to_vec())));
 }
 
+/// Reads the log file; `None` if it does not exist.
 fn load(path: &PathBuf) -> Result<Option<(HardState, Vec<Entry>)>, AgreementError> {
     let name = path.display().to_string();
     let bytes = match std::fs::read(path) {
@@ -203,7 +208,7 @@
     let (mut state, mut log, mut rest) = (None, Vec::new(), &bytes[..]);
     while let Some((head, tail)) = rest.split_first_chunk::<4>() {
         let length = u32::from_be_bytes(*head);
-        if length > MOST_KEPT || tail.len() < length as usize {
+        if length > MAX_RECORD_BYTES || tail.len() < length as usize {
             return Err(damaged());
         }
         let (message, tail) = tail.split_at(length as usize);
@@ -220,52 +225,52 @@
 mod tests {
     use super::*;
 
-    /// Lets time pass for some instances; messages to others are lost. Gives what each agreed on.
-    fn pass(instances: &mut [(u64, Agreement)], ticks: usize) -> Vec<Vec<Bytes>> {
-        let mut agreed = vec![Vec::new(); instances.len()];
+    /// Runs some members for a number of ticks; messages to others are lost. Returns the values committed at each.
+    fn run(members: &mut [(u64, Agreement)], ticks: usize) -> Vec<Vec<Bytes>> {
+        let mut committed = vec![Vec::new(); members.len()];
         for _ in 0..ticks {
-            instances.iter_mut().for_each(|(_, a)| a.tick());
+            members.iter_mut().for_each(|(_, a)| a.tick());
             loop {
                 let mut messages = Vec::new();
-                for (i, (_, instance)) in instances.iter_mut().enumerate() {
-                    let turn = instance.turn().unwrap();
+                for (i, (_, member)) in members.iter_mut().enumerate() {
+                    let turn = member.turn().unwrap();
                     messages.extend(turn.messages);
-                    agreed[i].extend(turn.agreed);
+                    committed[i].extend(turn.committed);
                 }
                 if messages.is_empty() {
                     break;
                 }
                 for message in messages {
-                    if let Some((_, to)) = instances.iter_mut().find(|(id, _)| *id == message.to) {
+                    if let Some((_, to)) = members.iter_mut().find(|(id, _)| *id == message.to) {
                         to.step(message);
                     }
                 }
             }
         }
-        agreed
+        committed
     }
 
     #[test]
-    fn a_majority_agrees_and_one_that_was_away_catches_up_from_what_it_kept() {
+    fn a_majority_commits_and_a_restarted_member_catches_up_from_its_file() {
         let file = std::env::temp_dir().join(format!("claywinch-agreement-{}", std::process::id()));
         let _ = std::fs::remove_file(&file);
         let new = |id: u64| {
-            let kept = (id == 3).then(|| file.clone());
-            (id, Agreement::new(id, &[1, 2, 3], kept).unwrap())
+            let path = (id == 3).then(|| file.clone());
+            (id, Agreement::new(id, &[1, 2, 3], path).unwrap())
         };
         let mut all: Vec<(u64, Agreement)> = (1..=3).map(new).collect();
         all[2].1.propose("one".into());
-        assert_eq!(pass(&mut all, 120), vec![vec![Bytes::from("one")]; 3]);
+        assert_eq!(run(&mut all, 120), vec![vec![Bytes::from("one")]; 3]);
         drop(all.pop());
         all[0].1.propose("two".into());
-        assert_eq!(pass(&mut all, 120), vec![vec![Bytes::from("two")]; 2]);
+        assert_eq!(run(&mut all, 120), vec![vec![Bytes::from("two")]; 2]);
         all.push(new(3));
-        let agreed = pass(&mut all, 120);
-        assert_eq!(agreed[2], ["one", "two"], "what it had agreed on, and what it missed");
-        assert!(agreed[0].is_empty() && agreed[1].is_empty());
+        let committed = run(&mut all, 120);
+        assert_eq!(committed[2], ["one", "two"], "the values from its file and the one that it missed");
+        assert!(committed[0].is_empty() && committed[1].is_empty());
         let mut alone = all.split_off(2);
         alone[0].1.propose("three".into());
-        assert_eq!(pass(&mut alone, 120), [Vec::<Bytes>::new()], "one of three decides nothing");
+        assert_eq!(run(&mut alone, 120), [Vec::<Bytes>::new()], "one of three members commits nothing");
         std::fs::write(&file, b"\0\0\0\x09junk").unwrap();
         assert!(matches!(Agreement::new(3, &[1, 2, 3], Some(file.clone())), Err(AgreementError::Damaged(_))));
         std::fs::remove_file(file).unwrap();
--- a/src/state/buffer_budget.rs
+++ b/src/state/buffer_budget.rs
@@ -1,46 +1,48 @@
-//! Memory for what is open, shared out in bytes: taken whole or not at all, and given back when dropped.
+//! A budget in bytes for the buffers of open requests and replies.
+//!
+//! A reservation either succeeds in full or fails without effect, and is released when it is dropped.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Room for what the clients of a front have open, in bytes.
+/// Bytes left for the buffers of the clients of one front. Clones share the same budget.
 #[derive(Debug, Clone)]
 pub struct BufferBudget {
     left: Rc<Cell<usize>>,
 }
 
 impl Default for BufferBudget {
-    /// No room at all.
+    /// Returns a budget of zero bytes.
     fn default() -> Self {
         BufferBudget::new(0)
     }
 }
 
 impl BufferBudget {
-    /// So many bytes, none of them taken.
+    /// Creates a budget of this many bytes.
     pub fn new(bytes: usize) -> Self {
         BufferBudget { left: Rc::new(Cell::new(bytes)) }
     }
 
-    /// Takes some; false if there are not so many left.
+    /// Reserves bytes. Returns `false`, without effect, if fewer are left.
     pub fn reserve(&self, bytes: usize) -> bool {
         let left = self.left.get().checked_sub(bytes);
         self.left.set(left.unwrap_or(self.left.get()));
         left.is_some()
     }
 
-    /// Gives back what was taken.
+    /// Releases bytes that were reserved.
     pub fn release(&self, bytes: usize) {
         self.left.set(self.left.get() + bytes);
     }
 
-    /// A part of it whose size changes; none as yet.
+    /// Returns a resizable reservation of zero bytes.
     pub fn empty_reservation(&self) -> Reservation {
         Reservation { budget: self.clone(), bytes: 0 }
     }
 }
 
-/// A part of the room, given back when it is dropped.
+/// A reservation of part of the budget, released when it is dropped.
 #[derive(Debug)]
 pub struct Reservation {
     budget: BufferBudget,
@@ -48,7 +50,7 @@
 }
 
 impl Reservation {
-    /// Makes it that large; false, with nothing changed, if there is not so much left.
+    /// Changes the size of the reservation. Returns `false`, without effect, if the budget is too small.
     pub fn resize(&mut self, bytes: usize) -> bool {
         if bytes > self.bytes && !self.budget.reserve(bytes - self.bytes) {
             return false;
@@ -58,7 +60,7 @@
         true
     }
 
-    /// How large it is.
+    /// Returns the size of the reservation in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
@@ -75,13 +77,15 @@
     use super::*;
 
     #[test]
-    fn room_is_taken_whole_or_not_at_all() {
+    fn a_reservation_succeeds_in_full_or_not_at_all() {
         let budget = BufferBudget::new(10);
         assert!(budget.reserve(6) && !budget.reserve(5) && budget.reserve(4));
         budget.release(6);
-        let mut part = budget.empty_reservation();
-        assert!(part.resize(4) && !part.resize(7) && part.resize(3) && !budget.reserve(4));
-        drop(part);
+        let mut reservation = budget.empty_reservation();
+        assert!(
+            reservation.resize(4) && !reservation.resize(7) && reservation.resize(3) && !budget.reserve(4)
+        );
+        drop(reservation);
         assert!(!budget.reserve(7) && budget.reserve(6));
     }
 }
--- a/src/state/handover.rs
+++ b/src/state/handover.rs
@@ -1,62 +1,66 @@
-//! What one process of a broker leaves for the next, and what both tell one another while they run side by side: a
-//! text with a head that names its version, its length and its checksum. Reading and writing files is not done
-//! here.
+//! The hand-over file: the state that a process of a broker leaves for its successor, and through which the processes of
+//! a broker exchange state while they run at the same time.
+//!
+//! The file starts with a header line that gives its format version, length and checksum. This module encodes and
+//! decodes it; it does not read or write files.
 
 use super::maintenance::{Ban, NamedNode};
 use super::planner::ListedNode;
 use crate::interface::{NodeEntry, NodeId, NodeState, ShardId, Time};
 use serde::{Deserialize, Serialize};
 
-/// The first word of the head, with the version of what follows.
-const HEAD: &str = "claywinch-handover-1";
-/// Longest text that is read: thousands of nodes.
+/// First word of the header line; it includes the format version.
+const HEADER: &str = "claywinch-handover-1";
+/// Maximum size of the file in bytes; enough for thousands of nodes.
 pub const MAX_BYTES: usize = 4 << 20;
-/// A process that has not been heard of for so long has ended.
-const ALIVE: Time = 1_500_000;
+/// Time in microseconds since its last update after which a process counts as ended.
+const HEARTBEAT_TIMEOUT: Time = 1_500_000;
 
-/// Why a text is of no use.
+/// Why a hand-over file cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// It is longer than any of ours.
+    /// The file is larger than [`MAX_BYTES`].
     #[error("too long")]
     TooLong,
-    /// It does not begin as ours do, or is of another version.
+    /// The header is missing or has another format version.
     #[error("not a hand-over of this version")]
-    Head,
-    /// It was cut off or changed.
+    Header,
+    /// The length or the checksum does not match the content.
     #[error("its checksum does not fit")]
     Damaged,
-    /// It holds something else than it should.
+    /// The content has an unexpected structure.
     #[error("{0}")]
     Content(String),
 }
 
-/// A process of the broker.
+/// A process of the broker, as it is recorded in the file.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Process {
-    /// Drawn at its start.
+    /// Random number drawn at the start of the process.
     pub id: u64,
-    /// When it started.
+    /// When the process started.
     pub started: Time,
-    /// Whether it serves and will go on.
+    /// Whether the process serves and is not about to stop.
     pub ready: bool,
-    /// When it was last heard of.
+    /// When the process last updated its record.
     pub beat: Time,
-    /// Descriptors that it held then.
+    /// Number of descriptors that the process had open at that time.
     pub held: usize,
-    /// The part of the broker's limits that it may spend; see [`super::parts`]. A version that tells none spends all.
+    /// The fraction of the broker's limits that the process may use; see [`super::parts`]. A version that does not record
+    /// it uses the whole limits.
     #[serde(default = "whole")]
     pub part: f64,
-    /// Whether it holds a lock for as long as it lives, which tells for certain whether it does.
+    /// Whether the process holds a file lock while it lives, so that others can reliably determine whether it does.
     #[serde(default)]
     pub locks: bool,
 }
 
+/// The part of a process whose version does not record one.
 fn whole() -> f64 {
     1.0
 }
 
-/// A node as the list said.
+/// A node of the last list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeLeft {
     name: String,
@@ -84,7 +88,7 @@
 }
 
 impl NodeLeft {
-    /// As a list names it, with its number.
+    /// Converts the record to a listed node; `number` assigns the node number by name.
     pub fn listed(self, number: impl FnOnce(&str) -> NodeId) -> NamedNode {
         let state = if self.draining { NodeState::Draining } else { NodeState::Up };
         let (zone, shard, started, size) = (self.zone, self.shard, self.started, self.size);
@@ -93,78 +97,79 @@
     }
 }
 
-/// What is handed over.
+/// The content of the hand-over file.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Handover {
-    /// The processes that run.
+    /// The running processes of the broker.
     pub processes: Vec<Process>,
-    /// The operators' last calls about nodes.
+    /// The last operator call about each node.
     pub bans: Vec<Ban>,
-    /// Version of the list.
+    /// Version of the node list.
     pub revision: u64,
-    /// The nodes of the list.
+    /// The nodes of that list.
     pub nodes: Vec<NodeLeft>,
 }
 
 impl Handover {
-    /// The text that stands for it.
+    /// Encodes the content with its header.
     pub fn encode(&self) -> Vec<u8> {
         let body = serde_json::to_vec(self).unwrap_or_default();
-        let mut text = format!("{HEAD} {} {:08x}\n", body.len(), crc32c::crc32c(&body)).into_bytes();
+        let mut text = format!("{HEADER} {} {:08x}\n", body.len(), crc32c::crc32c(&body)).into_bytes();
         text.extend(body);
         text
     }
 
-    /// Reads such a text.
+    /// Decodes a file and verifies its header.
     pub fn decode(text: &[u8]) -> Result<Self, DecodeError> {
         if text.len() > MAX_BYTES {
             return Err(DecodeError::TooLong);
         }
-        let head = format!("{HEAD} ");
-        let rest = text.strip_prefix(head.as_bytes()).ok_or(DecodeError::Head)?;
-        let end = rest.iter().position(|b| *b == b'\n').ok_or(DecodeError::Head)?;
-        let (figures, body) = (String::from_utf8_lossy(&rest[..end]), &rest[end + 1..]);
-        if figures != format!("{} {:08x}", body.len(), crc32c::crc32c(body)) {
+        let prefix = format!("{HEADER} ");
+        let rest = text.strip_prefix(prefix.as_bytes()).ok_or(DecodeError::Header)?;
+        let end = rest.iter().position(|b| *b == b'\n').ok_or(DecodeError::Header)?;
+        let (sizes, body) = (String::from_utf8_lossy(&rest[..end]), &rest[end + 1..]);
+        if sizes != format!("{} {:08x}", body.len(), crc32c::crc32c(body)) {
             return Err(DecodeError::Damaged);
         }
         serde_json::from_slice(body).map_err(|e| DecodeError::Content(e.to_string()))
     }
 
-    /// Notes that a process runs; of the others those stay that live by their locks, or that have none and were heard
-    /// of lately.
+    /// Records a running process. Removes other processes whose lock is free or, if they have no lock, that have not
+    /// updated their record for five heartbeat timeouts.
     pub fn record(&mut self, own: Process, lives: impl Fn(u64) -> bool) {
-        let stays = |p: &Process| if p.locks { lives(p.id) } else { own.beat - p.beat < 5 * ALIVE };
-        self.processes.retain(|p| p.id != own.id && stays(p));
+        let is_kept =
+            |p: &Process| if p.locks { lives(p.id) } else { own.beat - p.beat < 5 * HEARTBEAT_TIMEOUT };
+        self.processes.retain(|p| p.id != own.id && is_kept(p));
         self.processes.push(own);
     }
 
-    /// The parts of the limits that other processes have which live.
+    /// Returns the parts of the limits that other live processes hold. A process without a lock counts as live.
     pub fn other_parts(&self, own: &Process, lives: impl Fn(u64) -> bool) -> Vec<f64> {
         let lives = |p: &&Process| p.id != own.id && (!p.locks || lives(p.id));
         self.processes.iter().filter(lives).map(|p| p.part).collect()
     }
 
-    /// Notes that a process ends.
+    /// Removes the record of a process that ends.
     pub fn remove(&mut self, id: u64) {
         self.processes.retain(|p| p.id != id);
     }
 
-    /// Whether a process that started later serves in the place of one.
+    /// Returns whether a process that started later is serving and has updated its record recently.
     pub fn has_successor(&self, own: &Process, now: Time) -> bool {
         let later = |p: &&Process| (p.started, p.id) > (own.started, own.id) && p.ready;
-        self.processes.iter().filter(later).any(|p| now - p.beat < ALIVE)
+        self.processes.iter().filter(later).any(|p| now - p.beat < HEARTBEAT_TIMEOUT)
     }
 
-    /// Whether a process that started later lives, ready or not.
+    /// Returns whether a process that started later holds its lock, ready or not.
     pub fn is_followed(&self, id: u64, lives: impl Fn(u64) -> bool) -> bool {
         let Some(own) = self.processes.iter().find(|p| p.id == id) else { return false };
         let later = |p: &&Process| (p.started, p.id) > (own.started, own.id);
         self.processes.iter().filter(later).any(|p| p.locks && lives(p.id))
     }
 
-    /// Descriptors that other processes than one hold, if any still runs.
+    /// Returns the number of descriptors that the other running processes hold; `None` if no other process runs.
     pub fn held_by_others(&self, own: &Process, now: Time) -> Option<usize> {
-        let others = self.processes.iter().filter(|p| p.id != own.id && now - p.beat < ALIVE);
+        let others = self.processes.iter().filter(|p| p.id != own.id && now - p.beat < HEARTBEAT_TIMEOUT);
         others.map(|p| p.held).reduce(|all, held| all + held)
     }
 }
@@ -193,9 +198,9 @@
         Handover { processes: vec![process(1, 0, true, 1)], bans: vec![ban], revision: 41, nodes: vec![node] }
     }
 
-    /// Guards against a start on half a file, or on one that something else wrote.
+    /// Guards against a start on a truncated file, or on one that another program wrote.
     #[test]
-    fn only_a_whole_text_of_this_version_is_taken() {
+    fn only_a_complete_file_of_this_version_is_decoded() {
         let text = full().encode();
         assert_eq!(Handover::decode(&text), Ok(full()));
         for cut in 0..text.len() {
@@ -207,19 +212,19 @@
             assert!(Handover::decode(&flipped).is_err(), "flipped at {at}");
         }
         let later = String::from_utf8_lossy(&text).replacen("handover-1", "handover-2", 1);
-        assert_eq!(Handover::decode(later.as_bytes()), Err(DecodeError::Head));
+        assert_eq!(Handover::decode(later.as_bytes()), Err(DecodeError::Header));
         assert_eq!(Handover::decode(&vec![b'x'; MAX_BYTES + 1]), Err(DecodeError::TooLong));
     }
 
     #[test]
-    fn a_node_is_listed_again_as_it_was() {
+    fn a_node_survives_encoding_unchanged() {
         let left = full().nodes.remove(0);
         let listed = left.clone().listed(|_| 7);
         assert_eq!((listed.member.entry.node, listed.member.entry.started), (7, Some(9)));
         assert_eq!(NodeLeft::from(&listed), left);
     }
 
-    /// Guards against an old process that gives way to one which died or never got ready.
+    /// Guards against an old process that stops in favour of one which died or never became ready.
     #[test]
     fn a_successor_is_ready_and_alive_and_started_later() {
         let own = process(1, 10 * S, true, 10 * S);
@@ -232,10 +237,14 @@
         let now = 30 * S;
         assert!(with(process(2, 20 * S, true, 29 * S)).has_successor(&own, now));
         assert!(!with(process(2, 20 * S, false, 29 * S)).has_successor(&own, now), "not ready");
-        assert!(!with(process(2, 20 * S, true, 27 * S)).has_successor(&own, now), "it died");
-        assert!(!with(process(2, 5 * S, true, 29 * S)).has_successor(&own, now), "it was there before");
+        assert!(!with(process(2, 20 * S, true, 27 * S)).has_successor(&own, now), "its record is too old");
+        assert!(!with(process(2, 5 * S, true, 29 * S)).has_successor(&own, now), "it started earlier");
         assert_eq!(with(process(2, 5 * S, true, 29 * S)).held_by_others(&own, now), Some(100));
-        assert_eq!(with(process(1, 10 * S, true, 29 * S)).held_by_others(&own, now), None, "itself");
+        assert_eq!(
+            with(process(1, 10 * S, true, 29 * S)).held_by_others(&own, now),
+            None,
+            "its own record does not count"
+        );
         let mut handover = with(process(2, 20 * S, true, 29 * S));
         handover.remove(2);
         assert_eq!(handover.held_by_others(&own, now), None);
@@ -243,21 +252,22 @@
         assert_eq!(
             handover.processes.iter().map(|p| p.id).collect::<Vec<_>>(),
             [7, 99],
-            "the dead are dropped"
+            "records of dead processes are removed"
         );
     }
 
-    /// Guards against a process that was stopped for long and is taken for dead, and one of a version without parts.
+    /// Guards against counting the part of a suspended process as free, and against a process of a version without parts,
+    /// which uses the whole limits.
     #[test]
     fn a_part_is_held_for_as_long_as_its_process_lives() {
         let (own, old) = (process(1, 0, true, 0), process(2, 0, true, -1000 * S));
         let mut handover = Handover::default();
         handover.record(old, |_| true);
         handover.record(own, |_| true);
-        assert_eq!(handover.other_parts(&own, |_| true), [0.5], "silent, but its lock is held");
+        assert_eq!(handover.other_parts(&own, |_| true), [0.5], "its record is old, but its lock is held");
         assert_eq!(handover.other_parts(&own, |_| false), [0.0; 0]);
         let bare = r#"{"id":3,"started":0,"ready":true,"beat":0,"held":9}"#;
-        handover.processes.push(serde_json::from_str(bare).expect("an older version's"));
-        assert_eq!(handover.other_parts(&own, |_| false), [1.0], "it knows nothing of parts");
+        handover.processes.push(serde_json::from_str(bare).expect("a record of an older version"));
+        assert_eq!(handover.other_parts(&own, |_| false), [1.0], "a version without parts uses all");
     }
 }
--- a/src/state/list_validity.rs
+++ b/src/state/list_validity.rs
@@ -1,219 +1,240 @@
-//! When something that this broker does not know may count as told to it, and when it asks. The terms and what follows
-//! from them: `docs/design/discovery.md`. No I/O; time comes in.
+//! Decides how long the node list held by this broker is valid, and when to call discovery again.
+//!
+//! A change of the list that this broker has not received still binds it from some moment on: the protocol says when a
+//! change counts as delivered. After that moment plus the grace the broker must not send by the older list. The rules
+//! and the terms: `docs/design/discovery.md`. This module does no I/O; the caller passes the current time.
 
 use crate::interface::Time;
 
-/// What a silent watch misses counts as told so long after it fell silent; and whatever a call that failed or was given
-/// up would have brought, so long after discovery had it and could be reached (the protocol's figure).
+/// After a watch stops answering, a missed change counts as delivered this long after the watch went silent. After a
+/// call that failed or was abandoned, this long after discovery had the change and was reachable. Set by the protocol.
 const SILENCE: Time = 6_000_000;
-/// Or so long after its wait was over, if that is later (the protocol's figure).
+/// A change missed by a silent watch counts as delivered no earlier than this long after the end of the wait that the
+/// watch asked for. Set by the protocol.
 const AFTER_WAIT: Time = 2_000_000;
-/// After SIGHUP moved discovery, what the new one has counts as told (the protocol's figure).
-const MOVED: Time = 4_000_000;
-/// A process that is started beside another is told so long after its yes (the operators' figure for upgrades).
-const BESIDE: Time = 2_000_000;
-/// How long a watch waits for news at most: a quarter of the silence, so that most of it is left to ask again.
-const WAIT: Time = SILENCE / 4;
-/// The same for the first call of a watch, which is to show whether the list still holds.
-const LOOK: Time = 50_000;
-/// A watch goes on if its next call comes so soon after an answer (the protocol's figure).
-const CONTINUES: Time = 200_000;
-/// How much later than asked the answer to a watch that goes on may come.
-const PATIENCE: Time = SILENCE / 5;
-/// The same for a call that is made anew and queues behind all other brokers': discovery turns away what waits for 2 s (the
-/// protocol's figure), and that says more than silence.
-const QUEUED: Time = AFTER_WAIT + 200_000;
-/// Where the settings do not say how often to ask.
-const ASK_EVERY: Time = SILENCE;
-/// Least time between two calls.
-const LEAST_GAP: Time = 20_000;
-/// Longest gap between calls that fail: with its spread and the longest a call is waited for it stays within the silence.
-const MOST_GAP: Time = SILENCE / 3;
-
-/// What the settings say of lists.
+/// After SIGHUP changes the discovery address, changes known to the new discovery count as delivered this long after.
+/// Set by the protocol.
+const ENDPOINT_CHANGE: Time = 4_000_000;
+/// Changes count as delivered to a process that starts alongside another one of its broker this long after its start.
+/// Set by the operators for upgrades.
+const COEXISTING_START: Time = 2_000_000;
+/// Longest time that a watch waits for a change: a quarter of [`SILENCE`], so that enough time is left for a new call
+/// after the watch is found silent.
+const WATCH_WAIT: Time = SILENCE / 4;
+/// Longest wait of the first call of a watch, which only has to confirm that the list is still valid.
+const FIRST_WAIT: Time = 50_000;
+/// A call counts as the continuation of a watch if it follows an answer within this time. Set by the protocol.
+const CONTINUATION_GAP: Time = 200_000;
+/// How long after the requested wait the answer to a continued watch may arrive.
+const ANSWER_TIMEOUT: Time = SILENCE / 5;
+/// The same for a call that starts a new watch and queues behind the calls of all other brokers. Discovery rejects a
+/// call that has queued for 2 s (set by the protocol); the broker waits a little longer, because a rejection proves
+/// that discovery was not reachable and silence proves nothing.
+const QUEUED_ANSWER_TIMEOUT: Time = AFTER_WAIT + 200_000;
+/// Interval between lists where the settings give none.
+const DEFAULT_ASK_INTERVAL: Time = SILENCE;
+/// Shortest time between two calls.
+const MIN_CALL_GAP: Time = 20_000;
+/// Longest nominal gap between failing calls. With its random spread and the longest answer timeout the next call
+/// still falls within [`SILENCE`].
+const MAX_CALL_GAP: Time = SILENCE / 3;
+
+/// Settings for the delivery of lists.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Terms {
-    /// Lists are pushed to an agent on this machine: what that has counts as told.
+    /// Lists are pushed to an agent on this machine: a change counts as delivered once the agent has it.
     pub pushed: bool,
-    /// A broker without a watch that has not asked for so long counts as told, in microseconds.
+    /// Time in microseconds without a call after which changes count as delivered to a broker that has no watch.
     pub ask_every: Time,
-    /// How long after it was told of a drain a broker may still send there, in microseconds.
+    /// Time in microseconds for which a broker may still send to a draining node after the drain was delivered.
     pub grace: Time,
 }
 
 impl Default for Terms {
     fn default() -> Self {
-        Terms { pushed: false, ask_every: ASK_EVERY, grace: 0 }
+        Terms { pushed: false, ask_every: DEFAULT_ASK_INTERVAL, grace: 0 }
     }
 }
 
-/// How a call failed.
+/// How a call to discovery failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// Nobody listens there: whoever keeps the list is away.
+    /// The connection was refused: no discovery process listens at the address.
     Refused,
-    /// It ended in words: a status, or a reset before any.
+    /// Discovery answered with an error status, or reset the connection before any answer.
     Rejected,
-    /// Something came that is no whole list: what it should have held counts as told, since it was written.
+    /// The answer was cut off or unreadable. The list in it was sent, so its changes count as delivered.
     Malformed,
-    /// It never reached discovery: the connection did not come up.
+    /// The connection could not be established, so the call never reached discovery.
     NotConnected,
 }
 
-/// A call that is out.
+/// A call that has not been answered yet.
 #[derive(Debug, Clone, Copy)]
 struct Call {
     at: Time,
+    /// How long discovery was asked to wait for a change.
     wait: Time,
-    /// It continues a watch: it was made at once after an answer.
+    /// The call continues a watch: it was made immediately after an answer.
     continues: bool,
 }
 
-/// What the driver is to do now.
+/// The next action of the driver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing before the next deadline.
+    /// Do nothing before the next deadline.
     Wait,
-    /// Make a call that waits so many microseconds for news.
+    /// Call discovery and let it wait for a change for this many microseconds.
     Call(Time),
-    /// Give up the call that is out: discovery is silent.
+    /// Abandon the pending call, because discovery does not answer.
     GiveUp,
 }
 
-/// The account of one broker and one discovery.
+/// Tracks the validity of the list that this broker has from one discovery.
 #[derive(Debug)]
 pub struct ListValidity {
     terms: Terms,
     seed: u64,
-    /// From when on something may count as told that only an answer can bring; ends with the next one.
-    open: Option<Time>,
-    /// Until when everything is known: what was told was told here, or discovery could not be reached.
-    known: Time,
-    out: Option<Call>,
+    /// From this moment on unknown changes may count as delivered until the next answer, whatever else is known.
+    invalid_from: Option<Time>,
+    /// Up to this moment every delivered change is known, because discovery answered or was provably unreachable.
+    known_until: Time,
+    pending: Option<Call>,
     next_call: Time,
     failures: u32,
-    /// When the last call was answered, if that was the last that happened.
+    /// When the last call was answered; `None` if a call or an address change followed.
     answered: Option<Time>,
 }
 
 impl ListValidity {
-    /// The account of a process that starts at `now`, beside another one of its broker or not.
-    pub fn new(now: Time, terms: Terms, beside: bool, seed: u64) -> Self {
-        let open = match (terms.pushed, beside) {
+    /// Creates the state of a process that starts at `now`. `coexisting`: another process of its broker is running.
+    pub fn new(now: Time, terms: Terms, coexisting: bool, seed: u64) -> Self {
+        let invalid_from = match (terms.pushed, coexisting) {
             (true, _) => Some(now),
-            (false, true) => Some(now + BESIDE),
+            (false, true) => Some(now + COEXISTING_START),
             (false, false) => None,
         };
-        ListValidity { terms, seed, open, known: now, out: None, next_call: now, failures: 0, answered: None }
+        ListValidity {
+            terms,
+            seed,
+            invalid_from,
+            known_until: now,
+            pending: None,
+            next_call: now,
+            failures: 0,
+            answered: None,
+        }
     }
 
-    /// New settings.
+    /// Replaces the settings.
     pub fn set_terms(&mut self, terms: Terms) {
         self.terms = terms;
     }
 
-    /// From when on something that is not known here may count as told.
+    /// Returns the moment from which a change that is not known here may count as delivered.
     pub fn valid_until(&self) -> Time {
-        let free = match (self.terms.pushed, self.open) {
-            (false, _) => self.known + self.terms.ask_every.min(SILENCE),
-            (true, None) => self.known,
-            (true, Some(open)) => open,
+        let without_watch = match (self.terms.pushed, self.invalid_from) {
+            (false, _) => self.known_until + self.terms.ask_every.min(SILENCE),
+            (true, None) => self.known_until,
+            (true, Some(from)) => from,
         };
-        let rest = match self.out {
-            Some(call) if call.continues => silent_at(call),
-            // Whether a call that was made anew has become a watch is not known before its answer.
-            Some(call) => free.min(silent_at(call)),
-            None => free,
+        let with_call = match self.pending {
+            Some(call) if call.continues => silence_counts_at(call),
+            // Until its answer arrives it is unknown whether a new call has become a watch at discovery.
+            Some(call) => without_watch.min(silence_counts_at(call)),
+            None => without_watch,
         };
-        self.open.map_or(rest, |open| open.min(rest))
+        self.invalid_from.map_or(with_call, |from| from.min(with_call))
     }
 
-    /// Until when anything new may be sent by the list that is held. Half of the grace is kept for what lies between a
-    /// decision and its first byte.
+    /// Returns the moment until which new attempts may be sent by the current list. Half of the grace is reserved for
+    /// the time between the decision to send and the first byte on the wire.
     pub fn send_until(&self) -> Time {
         self.valid_until() + self.terms.grace / 2
     }
 
-    /// When to look at [`ListValidity::step`] again at the latest.
+    /// Returns the latest moment at which the driver must call [`ListValidity::step`] again.
     pub fn next_deadline(&self) -> Time {
-        self.out.map_or(self.next_call, given_up_at)
+        self.pending.map_or(self.next_call, abandoned_at)
     }
 
-    /// What is to be done at `now`.
+    /// Returns the action due at `now`.
     pub fn step(&mut self, now: Time) -> Step {
-        match self.out {
-            Some(call) if now >= given_up_at(call) => {
-                let told = silent_at(call);
-                self.open = Some(self.open.map_or(told, |open| open.min(told)));
-                self.out = None;
+        match self.pending {
+            Some(call) if now >= abandoned_at(call) => {
+                let counts_at = silence_counts_at(call);
+                self.invalid_from = Some(self.invalid_from.map_or(counts_at, |from| from.min(counts_at)));
+                self.pending = None;
                 self.next_call = now;
                 Step::GiveUp
             }
             None if now >= self.next_call => {
-                let continues = self.answered.take().is_some_and(|at| now - at < CONTINUES);
-                let most = if continues { WAIT } else { LOOK };
-                let wait = most * 3 / 4 + self.draw(most / 4);
-                self.out = Some(Call { at: now, wait, continues });
+                let continues = self.answered.take().is_some_and(|at| now - at < CONTINUATION_GAP);
+                let longest = if continues { WATCH_WAIT } else { FIRST_WAIT };
+                let wait = longest * 3 / 4 + self.random_below(longest / 4);
+                self.pending = Some(Call { at: now, wait, continues });
                 Step::Call(wait)
             }
             _ => Step::Wait,
         }
     }
 
-    /// A whole list, or word that there is no news: all is known that was told until now.
+    /// Records a complete list or the answer that nothing changed: every change delivered until `now` is known.
     pub fn answered(&mut self, now: Time) {
-        (self.open, self.out, self.known, self.next_call, self.failures) = (None, None, now, now, 0);
+        (self.invalid_from, self.pending, self.known_until, self.next_call, self.failures) =
+            (None, None, now, now, 0);
         self.answered = Some(now);
     }
 
-    /// The call that was out has failed.
+    /// Records that the pending call failed.
     pub fn failed(&mut self, now: Time, failure: Failure) {
-        let call = self.out.take();
+        let call = self.pending.take();
         if failure == Failure::Malformed {
-            self.open = Some(self.open.map_or(now, |open| open.min(now)));
+            self.invalid_from = Some(self.invalid_from.map_or(now, |from| from.min(now)));
         }
-        let known = match (call, failure) {
-            // A watch that ends in words was open until now.
+        let known_until = match (call, failure) {
+            // A watch that ends with a status or a reset was open until now.
             (Some(call), Failure::Refused | Failure::Rejected) if call.continues => Some(now),
-            // Nobody listened when it was made.
+            // No discovery process was listening when the call was made.
             (Some(call), Failure::Refused) => Some(call.at),
-            // Discovery itself said no: it could not be reached by this broker then. An agent may still have had news.
+            // A rejection proves that this broker could not reach discovery then. A rejecting agent, however, may
+            // already have had a change.
             (Some(call), Failure::Rejected) if !self.terms.pushed => Some(call.at),
             _ => None,
         };
-        self.known = self.known.max(known.unwrap_or(self.known));
+        self.known_until = self.known_until.max(known_until.unwrap_or(self.known_until));
         let every = self.terms.ask_every;
-        let gap = match (self.terms.pushed, self.open) {
-            // The next may be whole; if it is not, there is no hurry that helps.
+        let gap = match (self.terms.pushed, self.invalid_from) {
+            // The next list may be readable. If that one is malformed too, an immediate third call would not help.
             _ if failure == Failure::Malformed && self.failures == 0 => 0,
             (true, _) => self.terms.grace / 4,
             (false, Some(_)) => (every / 20).min(SILENCE / 12),
-            (false, None) => ((every / 20) << self.failures.min(16)).min(every * 2 / 5).min(MOST_GAP),
+            (false, None) => ((every / 20) << self.failures.min(16)).min(every * 2 / 5).min(MAX_CALL_GAP),
         };
         self.failures += 1;
-        self.next_call = now + (gap * 3 / 4 + self.draw(gap / 2)).max(LEAST_GAP);
+        self.next_call = now + (gap * 3 / 4 + self.random_below(gap / 2)).max(MIN_CALL_GAP);
     }
 
-    /// SIGHUP has moved discovery; the call that was out is let go.
+    /// Records that SIGHUP changed the discovery address; the pending call is dropped.
     pub fn endpoint_changed(&mut self, now: Time) {
-        let told = now + MOVED;
-        self.open = Some(self.open.map_or(told, |open| open.min(told)));
-        (self.out, self.next_call, self.answered) = (None, now, None);
+        let counts_at = now + ENDPOINT_CHANGE;
+        self.invalid_from = Some(self.invalid_from.map_or(counts_at, |from| from.min(counts_at)));
+        (self.pending, self.next_call, self.answered) = (None, now, None);
     }
 
-    /// Evenly from 0 to a bound.
-    fn draw(&mut self, bound: Time) -> Time {
+    /// Returns a uniform pseudo-random number from 0 up to, but not including, `bound`.
+    fn random_below(&mut self, bound: Time) -> Time {
         self.seed = self.seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         ((self.seed >> 33) as Time) % bound.max(1)
     }
 }
 
-/// When what a call misses counts as told, if it has been silent from its first moment.
-fn silent_at(call: Call) -> Time {
+/// Returns when changes missed by this call count as delivered, if discovery has been silent since the call was made.
+fn silence_counts_at(call: Call) -> Time {
     call.at + SILENCE.max(call.wait + AFTER_WAIT)
 }
 
-/// When a call that has brought nothing is given up.
-fn given_up_at(call: Call) -> Time {
-    call.at + call.wait + if call.continues { PATIENCE } else { QUEUED }
+/// Returns when an unanswered call is abandoned.
+fn abandoned_at(call: Call) -> Time {
+    call.at + call.wait + if call.continues { ANSWER_TIMEOUT } else { QUEUED_ANSWER_TIMEOUT }
 }
--- a/src/state/parts.rs
+++ b/src/state/parts.rs
@@ -1,28 +1,31 @@
-//! How the processes of one broker share what the broker may spend as a whole, such as the limits of plans. Each has a
-//! part on record; the parts of all that live never sum to more than one. That rests on the order of steps alone: a part
-//! is lowered before the record says so, and recorded before it is raised. No clock is asked.
+//! Divides the limits of a broker, such as the rates of plans, among the processes of the broker.
+//!
+//! Each process records the part that it holds, a fraction of the limits. The parts of all live processes never sum to
+//! more than one. This follows from the order of steps alone and needs no clock: a process uses a smaller part before it
+//! records it, and records a larger part before it uses it.
 
-/// What is lost to rounding when parts are added up.
+/// Tolerance for rounding errors in a sum of parts.
 const ROUNDING: f64 = 1e-9;
 
-/// What a process does next about its part.
+/// The next step of a process in changing its part.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Step {
-    /// Nothing: it has what it may have.
+    /// Keep the part.
     Stay,
-    /// Spend by this smaller part from now on, then record it.
+    /// Use this smaller part from now on, then record it.
     Lower(f64),
-    /// Record this larger part; only then spend by it.
+    /// Record this larger part, then use it.
     Raise(f64),
 }
 
-/// The next step of a process that spends by `own`, beside living processes that have `others` on record. Every process
-/// wants an even part; it goes down to that at once, and up to it as far as the others have gone down.
+/// Returns the next step of a process that uses the part `own`, where `others` are the recorded parts of the other live
+/// processes. Each process aims at an equal part: it lowers its part to that immediately, and raises it as far as the
+/// others have lowered theirs.
 pub fn next(own: f64, others: &[f64]) -> Step {
-    let even = 1.0 / (others.len() + 1) as f64;
+    let equal = 1.0 / (others.len() + 1) as f64;
     let left = (1.0 - others.iter().sum::<f64>()).max(0.0);
-    match even.min(left) {
-        _ if own > even + ROUNDING => Step::Lower(even),
+    match equal.min(left) {
+        _ if own > equal + ROUNDING => Step::Lower(equal),
         part if part > own + ROUNDING => Step::Raise(part),
         _ => Step::Stay,
     }
@@ -32,19 +35,19 @@
 mod tests {
     use super::*;
 
-    /// A process as the file shows it, and what it really spends by.
+    /// A simulated process with its recorded part and the part that it uses.
     #[derive(Clone, Copy)]
     struct Simulated {
-        record: f64,
-        spends: f64,
+        recorded: f64,
+        used: f64,
         raising: Option<f64>,
-        lives: bool,
+        alive: bool,
     }
 
-    /// Guards against a sum above one at any moment: processes start, look, write, stop for long and die in any order,
-    /// and each step of one is cut in two wherever the others can come between.
+    /// Guards against a sum above one at any moment. Processes start, read, write, pause for long and die in random order,
+    /// and each step is split in two wherever another process can act in between.
     #[test]
-    fn parts_never_sum_to_more_than_one_and_come_to_it() {
+    fn parts_never_sum_to_more_than_one_and_converge_to_equal_parts() {
         for seed in 0..400u64 {
             let mut state = seed;
             let mut draw = |n: u64| {
@@ -55,43 +58,43 @@
             for round in 0..300 {
                 let at = draw(5) as usize;
                 if at >= all.len() {
-                    if all.iter().filter(|p| p.lives).count() < 4 {
-                        all.push(Simulated { record: 0.0, spends: 0.0, raising: None, lives: true });
+                    if all.iter().filter(|p| p.alive).count() < 4 {
+                        all.push(Simulated { recorded: 0.0, used: 0.0, raising: None, alive: true });
                     }
-                } else if all[at].lives && draw(40) == 0 {
-                    all[at] = Simulated { spends: 0.0, raising: None, lives: false, ..all[at] };
-                } else if all[at].lives {
+                } else if all[at].alive && draw(40) == 0 {
+                    all[at] = Simulated { used: 0.0, raising: None, alive: false, ..all[at] };
+                } else if all[at].alive {
                     act(&mut all, at);
                 }
-                let sum: f64 = all.iter().filter(|p| p.lives).map(|p| p.spends).sum();
+                let sum: f64 = all.iter().filter(|p| p.alive).map(|p| p.used).sum();
                 assert!(sum <= 1.0 + 1e-6, "seed {seed}, round {round}: {sum}");
             }
-            // When nothing changes any more, all have even parts.
+            // Without further changes all processes reach equal parts.
             for _ in 0..20 {
                 (0..all.len())
-                    .filter(|at| all[*at].lives)
+                    .filter(|at| all[*at].alive)
                     .collect::<Vec<_>>()
                     .iter()
                     .for_each(|at| act(&mut all, *at));
             }
-            let living: Vec<f64> = all.iter().filter(|p| p.lives).map(|p| p.spends).collect();
+            let living: Vec<f64> = all.iter().filter(|p| p.alive).map(|p| p.used).collect();
             assert!(living.iter().all(|p| (p - 1.0 / living.len() as f64).abs() < 1e-6), "{living:?}");
         }
     }
 
-    /// Half a step: a raise is carried out one turn after it was recorded, a lower part recorded one turn after it holds.
+    /// Performs half a step: a recorded raise is used one call later, and a lowered part is recorded one call later.
     fn act(all: &mut [Simulated], at: usize) {
         let own = all[at];
         if let Some(part) = own.raising {
-            all[at] = Simulated { spends: part, raising: None, ..own };
-        } else if own.record > own.spends {
-            all[at].record = own.spends;
+            all[at] = Simulated { used: part, raising: None, ..own };
+        } else if own.recorded > own.used {
+            all[at].recorded = own.used;
         } else {
-            let others = all.iter().enumerate().filter(|(i, p)| *i != at && p.lives).map(|(_, p)| p.record);
-            match next(own.spends, &others.collect::<Vec<_>>()) {
+            let others = all.iter().enumerate().filter(|(i, p)| *i != at && p.alive).map(|(_, p)| p.recorded);
+            match next(own.used, &others.collect::<Vec<_>>()) {
                 Step::Stay => {}
-                Step::Lower(part) => all[at].spends = part,
-                Step::Raise(part) => (all[at].record, all[at].raising) = (part, Some(part)),
+                Step::Lower(part) => all[at].used = part,
+                Step::Raise(part) => (all[at].recorded, all[at].raising) = (part, Some(part)),
             }
         }
     }
--- a/src/state/stable_index.rs
+++ b/src/state/stable_index.rs
@@ -1,53 +1,55 @@
-//! StableIndices in a list whose entries are added, changed and dropped while some are in use: whoever uses one holds it, and
-//! its place is given away only when nobody does.
+//! Assigns indices to the values of a list that changes while some of the values are in use.
+//!
+//! Each user of a value holds an [`Indexed`] reference to it. The index is reused only after the last reference to the
+//! value has been dropped, so an index never changes its meaning for an open request.
 
 use std::rc::{Rc, Weak};
 
-/// Something with its place.
+/// A value with its index.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Indexed<T> {
-    /// Its place.
+    /// Index of the value.
     pub index: usize,
-    /// What stands there.
+    /// The value.
     pub value: T,
 }
 
-/// The places.
+/// The indices in use, each with a weak reference to its value.
 #[derive(Debug)]
 pub struct StableIndices<T> {
-    held: Vec<Weak<Indexed<T>>>,
+    entries: Vec<Weak<Indexed<T>>>,
 }
 
 impl<T> Default for StableIndices<T> {
     fn default() -> Self {
-        StableIndices { held: Vec::new() }
+        StableIndices { entries: Vec::new() }
     }
 }
 
 impl<T: PartialEq> StableIndices<T> {
-    /// Gives each value a place: its own if it stands somewhere already, else a free one.
+    /// Returns each value with an index: the present one if an equal value is still in use, otherwise a free one.
     pub fn take(&mut self, values: Vec<T>) -> Vec<Rc<Indexed<T>>> {
-        // All that stand must be held before any free place is given away.
-        let there = |value: &T| self.held.iter().filter_map(Weak::upgrade).find(|p| p.value == *value);
+        // All values still in use must be found and held before a free index is assigned.
+        let present = |value: &T| self.entries.iter().filter_map(Weak::upgrade).find(|p| p.value == *value);
         let found: Vec<Result<Rc<Indexed<T>>, T>> =
-            values.into_iter().map(|value| there(&value).ok_or(value)).collect();
-        found.into_iter().map(|found| found.unwrap_or_else(|value| self.put(value))).collect()
+            values.into_iter().map(|value| present(&value).ok_or(value)).collect();
+        found.into_iter().map(|found| found.unwrap_or_else(|value| self.insert(value))).collect()
     }
 
-    fn put(&mut self, value: T) -> Rc<Indexed<T>> {
-        let free = self.held.iter().position(|held| held.strong_count() == 0);
-        let place = free.unwrap_or(self.held.len());
-        let placed = Rc::new(Indexed { index: place, value });
+    fn insert(&mut self, value: T) -> Rc<Indexed<T>> {
+        let free = self.entries.iter().position(|entry| entry.strong_count() == 0);
+        let index = free.unwrap_or(self.entries.len());
+        let indexed = Rc::new(Indexed { index, value });
         match free {
-            Some(place) => self.held[place] = Rc::downgrade(&placed),
-            None => self.held.push(Rc::downgrade(&placed)),
+            Some(index) => self.entries[index] = Rc::downgrade(&indexed),
+            None => self.entries.push(Rc::downgrade(&indexed)),
         }
-        placed
+        indexed
     }
 
-    /// What stands at each place; nothing where a place is free.
+    /// Returns the value at each index; `None` where the index is free.
     pub fn all(&self) -> Vec<Option<Rc<Indexed<T>>>> {
-        self.held.iter().map(Weak::upgrade).collect()
+        self.entries.iter().map(Weak::upgrade).collect()
     }
 }
 
@@ -55,24 +57,24 @@
 mod tests {
     use super::*;
 
-    fn places<T>(all: &[Rc<Indexed<T>>]) -> Vec<usize> {
+    fn indices<T>(all: &[Rc<Indexed<T>>]) -> Vec<usize> {
         all.iter().map(|p| p.index).collect()
     }
 
-    /// Guards against places that shift beneath what is open, and against what reloads leave behind.
+    /// Guards against an index that changes while its value is in use, and against a list that grows with each reload.
     #[test]
-    fn a_place_is_kept_while_it_is_held_and_then_used_again() {
+    fn an_index_is_kept_while_its_value_is_in_use_and_reused_afterwards() {
         let mut all = StableIndices::default();
         let first = all.take(vec!["read", "write"]);
-        assert_eq!(places(&first), [0, 1]);
+        assert_eq!(indices(&first), [0, 1]);
         let open = first[0].clone();
         drop(first);
-        // "read" is dropped but still open; "write" stays nowhere.
+        // "read" is removed from the list but still in use; "write" is not in use any more.
         let second = all.take(vec!["scan", "copy"]);
-        assert_eq!(places(&second), [1, 2]);
+        assert_eq!(indices(&second), [1, 2]);
         assert_eq!((open.index, open.value), (0, "read"));
         let third = all.take(vec!["copy", "read", "scan"]);
-        assert_eq!(places(&third), [2, 0, 1], "what stands is found again, in whatever order");
+        assert_eq!(indices(&third), [2, 0, 1], "values in use are found again in any order");
         drop((open, second, third));
         for _ in 0..100 {
             assert!(all.take(vec!["a", "b"]).iter().all(|p| p.index < 3));
--- a/src/state/starts.rs
+++ b/src/state/starts.rs
@@ -1,63 +1,74 @@
-//! When nodes have started, by this machine's own clock. A list tells it by the wall clock, which every machine reads
-//! alike as long as it is right; it may be stepped while this process runs, or may have been off when it started. So it
-//! is believed only within what this broker has seen itself: a start that is told for the first time between two lists
-//! lies between them, and none lies in the future.
+//! Start times of nodes, converted to the clock of this machine.
+//!
+//! A list gives a start time by the wall clock, which all machines share as long as it is right. The wall clock may be
+//! stepped while this process runs, or may have been off when the process started. A reported time is therefore limited
+//! by what this broker has observed: a start that first appears between two lists lies between them, and no start lies
+//! in the future.
 
 use crate::interface::{NodeId, Time};
 use std::collections::BTreeMap;
 
-/// How long the start of a node that no list names any more is remembered.
-const MEMORY: Time = 600_000_000;
-/// A wall clock that has moved by less has been corrected, not stepped.
-const STEP: Time = 1_000_000;
+/// How long the start time of a node is kept, in microseconds, after the last list that contained the node.
+const RETENTION: Time = 600_000_000;
+/// Changes of the wall clock up to this many microseconds count as a correction, larger ones as a step.
+const MIN_STEP: Time = 1_000_000;
 
-/// A start as it was told, and when it was by this machine's clock.
+/// The start of a node.
 #[derive(Debug, Clone, Copy)]
 struct Start {
-    told: Time,
+    /// As reported by the list, by the wall clock.
+    reported: Time,
+    /// As converted to the clock of this machine.
     at: Time,
-    /// It was there in the first list: only the wall clock says how long before.
-    first: bool,
-    listed: Time,
+    /// The start was in the first list, so that only the wall clock tells how long before the process it was.
+    in_first_list: bool,
+    last_listed: Time,
 }
 
-/// The starts of all nodes that lists have named.
+/// The start times of all nodes that lists have contained.
 #[derive(Debug)]
 pub struct StartTimes {
-    began: Time,
-    /// When the last list was taken: what a later one tells anew has happened since.
-    last: Option<Time>,
-    /// How far the wall clock had moved then.
+    process_start: Time,
+    /// When the last list arrived; a start that a later list reports for the first time has happened since.
+    last_list: Option<Time>,
+    /// Total step of the wall clock up to the last list.
     step: Time,
-    known: BTreeMap<NodeId, Start>,
-    forget_at: Time,
+    starts: BTreeMap<NodeId, Start>,
+    next_cleanup: Time,
 }
 
 impl StartTimes {
-    /// Those of a process that starts at `now`.
+    /// Creates the table of a process that starts at `now`.
     pub fn new(now: Time) -> Self {
-        StartTimes { began: now, last: None, step: 0, known: BTreeMap::new(), forget_at: now + MEMORY }
+        StartTimes {
+            process_start: now,
+            last_list: None,
+            step: 0,
+            starts: BTreeMap::new(),
+            next_cleanup: now + RETENTION,
+        }
     }
 
-    /// A list is taken; the wall clock has moved by `step` since the process began. Gives the nodes whose starts are
-    /// taken for others than before.
+    /// Begins a list. `step` is how far the wall clock has been stepped since the process started. Returns the nodes
+    /// whose converted start times change because of a new step.
     pub fn begin_list(&mut self, step: Time) -> Vec<(NodeId, Time)> {
         let moved = step - self.step;
-        if moved.abs() <= STEP {
+        if moved.abs() <= MIN_STEP {
             return Vec::new();
         }
         tracing::warn!(by_ms = moved / 1000, "the wall clock was stepped");
         self.step = step;
-        let began = self.began;
+        let process_start = self.process_start;
         let mut changed = Vec::new();
-        for (node, start) in self.known.iter_mut().filter(|(_, start)| start.first) {
+        for (node, start) in self.starts.iter_mut().filter(|(_, start)| start.in_first_list) {
             let before = start.at;
             start.at = match moved < 0 {
-                // It was ahead when the process began, or is behind now. If it was ahead, this start is later than it
-                // seemed, but no later than the process.
-                true => (start.at - moved).min(began),
-                // It was behind if the start seemed to lie in the future; else it may be ahead now, and is not believed.
-                false if start.told > began => (start.told - moved).min(start.at),
+                // The wall clock was ahead when the process started, or is behind now. If it was ahead, the node started
+                // later than it seemed, but no later than the process.
+                true => (start.at - moved).min(process_start),
+                // The wall clock was behind if the start seemed to lie in the future. Otherwise it may be ahead now, and
+                // the step is ignored.
+                false if start.reported > process_start => (start.reported - moved).min(start.at),
                 false => start.at,
             };
             changed.extend((start.at != before).then_some((*node, start.at)));
@@ -65,29 +76,34 @@
         changed
     }
 
-    /// The start of a node of that list, by this machine's clock; nothing for one that started long ago.
-    pub fn adopt(&mut self, now: Time, node: NodeId, told: Option<Time>) -> Option<Time> {
-        let Some(told) = told else {
-            self.known.remove(&node);
+    /// Converts the start time of a node in the current list to the clock of this machine. Returns `None` for a node
+    /// whose start is not reported because it was long ago.
+    pub fn adopt(&mut self, now: Time, node: NodeId, reported: Option<Time>) -> Option<Time> {
+        let Some(reported) = reported else {
+            self.starts.remove(&node);
             return None;
         };
-        let last = self.last;
-        let start =
-            self.known.entry(node).or_insert(Start { told: Time::MIN, at: 0, first: false, listed: now });
-        if start.told != told {
-            let at = told.min(now).max(last.unwrap_or(Time::MIN));
-            *start = Start { told, at, first: last.is_none(), listed: now };
+        let last_list = self.last_list;
+        let start = self.starts.entry(node).or_insert(Start {
+            reported: Time::MIN,
+            at: 0,
+            in_first_list: false,
+            last_listed: now,
+        });
+        if start.reported != reported {
+            let at = reported.min(now).max(last_list.unwrap_or(Time::MIN));
+            *start = Start { reported, at, in_first_list: last_list.is_none(), last_listed: now };
         }
-        start.listed = now;
+        start.last_listed = now;
         Some(start.at)
     }
 
-    /// The list is taken whole.
+    /// Ends a list after all its nodes have been passed to [`StartTimes::adopt`].
     pub fn end_list(&mut self, now: Time) {
-        self.last = Some(now);
-        if now >= self.forget_at {
-            self.forget_at = now + MEMORY;
-            self.known.retain(|_, start| now - start.listed < MEMORY);
+        self.last_list = Some(now);
+        if now >= self.next_cleanup {
+            self.next_cleanup = now + RETENTION;
+            self.starts.retain(|_, start| now - start.last_listed < RETENTION);
         }
     }
 }
