--- a/src/wire/clock.rs
+++ b/src/wire/clock.rs
@@ -1,11 +1,12 @@
-//! The time. Unix time, as node lists state starts, but carried by the monotonic clock: it never goes back.
+//! Clocks. Times are Unix times, because lists of nodes state start times so, but they advance with the monotonic
+//! clock and never go back.
 
 use crate::interface::Time;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Tells Unix time in microseconds.
+/// Unix time in microseconds, driven by the monotonic clock.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     base: Time,
@@ -13,159 +14,164 @@
 }
 
 impl Clock {
-    /// A clock set by the system's.
+    /// Creates a clock that starts at the system's wall-clock time.
     pub fn system() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { base: unix.as_micros() as Time, start: Instant::now() }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         self.base + self.start.elapsed().as_micros() as Time
     }
 
-    /// How far the system's wall clock has moved away from this clock since it was set, in microseconds: it is stepped
-    /// by whoever keeps the machine's time, and neither before nor after is sure to be right.
+    /// Returns how far the system's wall clock has moved away from this clock since its creation, in microseconds. Time
+    /// synchronisation may step the wall clock, and neither the time before nor the time after a step is sure to be
+    /// right.
     pub fn wall_clock_drift(&self) -> Time {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         unix.as_micros() as Time - self.now()
     }
 
-    /// When that time comes, for a sleep.
+    /// Converts a time to an instant of the monotonic clock, for sleeping.
     pub fn instant(&self, at: Time) -> Instant {
         self.start + Duration::from_micros((at - self.base).max(0) as u64)
     }
 }
 
-/// How often the loop_clock beats.
-const BEAT: Time = 4_000;
-/// A beat this much late is a stall worth a line in the log.
-const STALL: Time = 20_000;
+/// Interval of the ticks that measure scheduling lag, in microseconds.
+const TICK: Time = 4_000;
+/// A tick that is later than this, in microseconds, is logged as a stall.
+const STALL_THRESHOLD: Time = 20_000;
 
-/// Tells whether this process has been stalled. What is read after a stall may have come any time since its
-/// beginning, and its client counts from then.
+/// Measures the scheduling lag of this process with a periodic tick. Data read after a stall may have arrived at any
+/// time since the stall began, and the client counts its deadline from the arrival.
 #[derive(Debug, Clone)]
 pub struct LoopClock {
     clock: Clock,
-    last: Rc<Cell<Time>>,
-    /// The beat before a late one, until one is on time: what is read between may have come since then.
+    last_tick: Rc<Cell<Time>>,
+    /// Time of the last tick before a late one, until a tick is on time again. Data read in between may have arrived
+    /// since then.
     backlog: Rc<Cell<Option<Time>>>,
-    longest: Rc<Cell<Option<Stretch>>>,
-    /// The latest beat of the last while, and when it was.
-    worst: Rc<Cell<(Time, Time)>>,
+    longest: Rc<Cell<Option<BlockingWork>>>,
+    /// The largest lag in the last [`LAG_WINDOW`], and when it was measured.
+    max_lag: Rc<Cell<(Time, Time)>>,
 }
 
-/// For how long a late beat is remembered.
-const LATELY: Time = 1_000_000;
+/// How long a large lag is remembered, in microseconds.
+const LAG_WINDOW: Time = 1_000_000;
 
-/// A piece of work that nothing else could run beside.
+/// A piece of work that blocked the event loop, and how long it took in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Stretch {
+struct BlockingWork {
     what: &'static str,
     took: Time,
 }
 
-/// How many times others are given way to, where this process is late: what came meanwhile is read, taken by whom it is
-/// for, and passed on.
-const GIVE_WAY: usize = 3;
+/// How many times [`LoopClock::catch_up`] yields to the other tasks after a stall: once to read the data that has
+/// arrived, once for its recipients to handle it, and once to forward the results.
+const CATCH_UP_YIELDS: usize = 3;
 
 impl LoopClock {
-    /// A loop_clock that has just beaten.
+    /// Creates a clock whose last tick is now.
     pub fn new(clock: Clock) -> Self {
-        let last = Rc::new(Cell::new(clock.now()));
-        LoopClock { clock, last, backlog: Rc::default(), longest: Rc::default(), worst: Rc::default() }
+        let last_tick = Rc::new(Cell::new(clock.now()));
+        LoopClock { clock, last_tick, backlog: Rc::default(), longest: Rc::default(), max_lag: Rc::default() }
     }
 
-    /// Beats for good.
+    /// Ticks forever.
     pub async fn run(self) {
         loop {
-            tokio::time::sleep_until(self.clock.instant(self.last.get() + BEAT).into()).await;
-            let (now, last) = (self.clock.now(), self.last.get());
-            let (late, longest) = (now - last - BEAT, self.longest.take());
-            if late > STALL {
-                let (cause, took) = cause(late, longest);
+            tokio::time::sleep_until(self.clock.instant(self.last_tick.get() + TICK).into()).await;
+            let (now, last) = (self.clock.now(), self.last_tick.get());
+            let (late, longest) = (now - last - TICK, self.longest.take());
+            if late > STALL_THRESHOLD {
+                let (cause, took) = stall_cause(late, longest);
                 tracing::warn!(ms = late / 1000, cause, took_ms = took / 1000, "stalled");
             }
-            let (worst, at) = self.worst.get();
-            if late >= worst || now - at > LATELY {
-                self.worst.set((late, now));
+            let (max_lag, at) = self.max_lag.get();
+            if late >= max_lag || now - at > LAG_WINDOW {
+                self.max_lag.set((late, now));
             }
-            self.backlog.set((late > BEAT).then_some(last));
-            self.last.set(now);
+            self.backlog.set((late > TICK).then_some(last));
+            self.last_tick.set(now);
         }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// The clock.
+    /// Returns the underlying clock.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// Sleeps until that time.
+    /// Sleeps until `at`.
     pub async fn sleep_until(&self, at: Time) {
         tokio::time::sleep_until(self.clock.instant(at).into()).await;
     }
 
-    /// How late the process runs at this moment, in microseconds.
+    /// Returns the current scheduling lag, in microseconds: how long the next tick is overdue.
     pub fn lag(&self) -> Time {
-        (self.clock.now() - self.last.get() - BEAT).max(0)
+        (self.clock.now() - self.last_tick.get() - TICK).max(0)
     }
 
-    /// How late this process has run at most in the last while, in microseconds.
+    /// Returns the largest recent scheduling lag, in microseconds, or 0 if none was measured for twice
+    /// [`LAG_WINDOW`].
     pub fn recent_lag(&self) -> Time {
-        let (worst, at) = self.worst.get();
-        if self.clock.now() - at > 2 * LATELY {
+        let (max_lag, at) = self.max_lag.get();
+        if self.clock.now() - at > 2 * LAG_WINDOW {
             0
         } else {
-            worst
+            max_lag
         }
     }
 
-    /// Takes note of what has just held up all else since `from`, for the log of stalls.
+    /// Records that `what` has blocked the event loop since `from`, so that the log can name the cause of a stall.
     pub fn record_blocking(&self, what: &'static str, from: Time) {
         let took = self.clock.now() - from;
         if self.longest.get().is_none_or(|longest| longest.took < took) {
-            self.longest.set(Some(Stretch { what, took }));
+            self.longest.set(Some(BlockingWork { what, took }));
         }
     }
 
-    /// Where the process is late, lets what has come meanwhile be read and passed on before anything is decided by the
-    /// clock: what lies unread in a socket is not late.
+    /// After a stall, lets the other tasks read and forward the data that has arrived in the meantime, before the caller
+    /// decides anything by the clock. Data that waits unread in a socket is not late.
     pub async fn catch_up(&self) {
-        // The beat that ends a stall may run before those who read what has come meanwhile.
-        if self.lag() <= BEAT && self.backlog.get().is_none() {
+        // The tick that ends a stall may run before the tasks that read the data which has arrived in the meantime, so
+        // the backlog is checked, too.
+        if self.lag() <= TICK && self.backlog.get().is_none() {
             return;
         }
-        for _ in 0..GIVE_WAY {
+        for _ in 0..CATCH_UP_YIELDS {
             tokio::task::yield_now().await;
         }
     }
 
-    /// The earliest time at which something may have come that is read now.
+    /// Returns the earliest time at which data read now may have arrived.
     pub fn earliest_arrival(&self) -> Time {
-        came(self.clock.now(), self.last.get(), self.backlog.get())
+        arrival_bound(self.clock.now(), self.last_tick.get(), self.backlog.get())
     }
 }
 
-/// What a stall is put down to: the longest piece of work if it makes up half of it, or else whatever holds the process
-/// up from outside.
-fn cause(late: Time, longest: Option<Stretch>) -> (&'static str, Time) {
+/// Returns the cause of a stall and how long it took: the longest piece of work if it makes up at least half of the
+/// stall, otherwise a general text.
+fn stall_cause(late: Time, longest: Option<BlockingWork>) -> (&'static str, Time) {
     match longest.filter(|longest| longest.took * 2 >= late) {
         Some(longest) => (longest.what, longest.took),
-        None => ("held up from outside, or by many small pieces", 0),
+        None => ("blocked by the system, or by many short pieces of work", 0),
     }
 }
 
-/// A beat or two may be missed by chance. Whether what waits unread is taken before or after the beat that ends a stall is
-/// chance, too.
-fn came(now: Time, last: Time, backlog: Option<Time>) -> Time {
+/// Returns the earliest time at which data read at `now` may have arrived. A tick may be missed by chance, so only a lag
+/// above two intervals counts as a stall. Data may be read before or after the tick that ends a stall, so both cases
+/// are handled: with `backlog` the tick ran first.
+fn arrival_bound(now: Time, last: Time, backlog: Option<Time>) -> Time {
     match backlog {
         Some(before) => before,
-        None if now - last > 2 * BEAT => last,
+        None if now - last > 2 * TICK => last,
         None => now,
     }
 }
@@ -175,17 +181,21 @@
     use super::*;
 
     #[test]
-    fn what_is_read_after_a_stall_may_have_come_at_its_beginning() {
-        assert_eq!(came(1_000_000, 1_000_000 - BEAT, None), 1_000_000);
-        assert_eq!(came(1_000_000, 900_000, None), 900_000);
-        assert_eq!(came(1_000_000, 1_000_000, Some(700_000)), 700_000, "the beat came first");
+    fn data_read_after_a_stall_may_have_arrived_when_it_began() {
+        assert_eq!(arrival_bound(1_000_000, 1_000_000 - TICK, None), 1_000_000);
+        assert_eq!(arrival_bound(1_000_000, 900_000, None), 900_000);
+        assert_eq!(
+            arrival_bound(1_000_000, 1_000_000, Some(700_000)),
+            700_000,
+            "the tick ran before the read"
+        );
     }
 
     #[test]
-    fn a_stall_is_put_down_to_what_took_half_of_it() {
-        let longest = |took| Some(Stretch { what: "a turn", took });
-        assert_eq!(cause(100, longest(60)), ("a turn", 60));
-        assert_ne!(cause(100, longest(40)).0, "a turn");
-        assert_ne!(cause(100, None).0, "a turn");
+    fn a_stall_is_attributed_to_work_that_took_half_of_it() {
+        let longest = |took| Some(BlockingWork { what: "a turn", took });
+        assert_eq!(stall_cause(100, longest(60)), ("a turn", 60));
+        assert_ne!(stall_cause(100, longest(40)).0, "a turn");
+        assert_ne!(stall_cause(100, None).0, "a turn");
     }
 }
--- a/src/wire/link.rs
+++ b/src/wire/link.rs
@@ -1,4 +1,4 @@
-//! A link to a node: the driver of one connection, whatever is spoken on it.
+//! A link to a node: the driver of one connection, generic over the protocol spoken on it.
 
 use super::outbox::Outbox;
 use crate::interface::{Ending, Time};
@@ -8,7 +8,7 @@
 use crate::state::pool::LinkId;
 use crate::wire::clock::LoopClock;
 use crate::wire::socket::{
-    connect_failure, is_short_of_memory, is_transient, unread, ConnectFailure, Unread as Lying, RETRY_DELAY,
+    connect_failure, is_short_of_memory, is_transient, unread, ConnectFailure, Unread, RETRY_DELAY,
 };
 use bytes::BytesMut;
 use std::cell::Cell;
@@ -20,26 +20,26 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 
-/// Room for a read: most replies fit.
-const READ: usize = 16 * 1024;
+/// Buffer space reserved for each read, in bytes. Most replies fit into it.
+const READ_SIZE: usize = 16 * 1024;
 
-/// A peer broke the protocol; the text is for the log.
+/// A peer violated the protocol. The text is meant for the log.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct ProtocolError(pub &'static str);
 
-/// A whole reply came while nothing was out.
+/// The node sent a complete reply while no request was outstanding.
 pub const UNSOLICITED_REPLY: ProtocolError = ProtocolError("a reply that nothing asked for");
 
-/// How long nothing may come of a reply that has begun: nodes stand still between replies, not within.
+/// Longest gap within a reply that has begun, in microseconds. Nodes may pause between replies, but not within one.
 pub const REPLY_STALL_TIMEOUT: Time = 300_000;
-/// How often a long reply that comes in parts is told to come on.
-const COMING: Time = 100_000;
+/// Least time in microseconds between two progress reports to the planner about one long reply.
+const PROGRESS_REPORT_INTERVAL: Time = 100_000;
 
-/// Something to wait for that holds nothing of whoever waits.
+/// A future to wait for that borrows nothing from the waiting task.
 pub type Wakeup = Pin<Box<dyn Future<Output = ()>>>;
 
-/// Wakes with the first of two, where there is any.
+/// Returns a future that completes with the first of the two given ones, or `None` if neither is given.
 pub fn either(
     a: Option<impl Future<Output = ()> + 'static>,
     b: Option<impl Future<Output = ()> + 'static>,
@@ -57,7 +57,7 @@
     }
 }
 
-/// Waits for it, or for good.
+/// Waits for the wake-up, or forever if there is none.
 pub async fn wait_for(wakeup: Option<Wakeup>) {
     match wakeup {
         Some(wakeup) => wakeup.await,
@@ -65,74 +65,78 @@
     }
 }
 
-/// What becomes of a reply that is passed on while it comes.
+/// Progress of a reply that is forwarded to the client while it is still being received.
 #[derive(Debug, PartialEq)]
 pub enum ReplyProgress<R> {
-    /// It has begun, and is the answer.
+    /// The reply has begun and is the answer to this attempt.
     Begun(AttemptId, AttemptEnd<R>),
-    /// It has come to its end.
+    /// The reply has been received completely.
     Complete,
 }
 
-/// An attempt that ended, and how.
+/// An attempt that has ended, and how it ended.
 pub type Ended<R> = (AttemptId, AttemptEnd<R>);
 
-/// The client's side of a protocol, spoken with a node. Sans-I/O.
+/// The client side of a protocol spoken with a node. Sans-I/O: the link does the reading and writing.
 pub trait Exchange<W: Wire>: 'static {
-    /// Takes a request to be sent; `left` is how long its answer is waited for.
+    /// Queues a request for sending. `left` is how long its answer is awaited, in microseconds.
     fn send(&mut self, tag: AttemptId, left: Time, request: W::Request);
-    /// What is to be written.
+    /// The bytes that wait to be written to the node.
     fn outbox(&mut self) -> &mut Outbox;
-    /// Takes what was read and consumes what is whole of it.
+    /// Consumes the complete messages at the front of `read` and appends the attempts that they end to `ended`.
     fn receive(&mut self, read: &mut BytesMut, ended: &mut Vec<Ended<W::Reply>>)
         -> Result<(), ProtocolError>;
-    /// What has become of a reply that is passed on while it comes, once after each [`Exchange::receive`] that ended
-    /// there: it is to be called again.
+    /// Returns the progress of a reply that is forwarded while it is received. The link asks once after each
+    /// [`Exchange::receive`]; if there is progress, `receive` stopped at that point and is called again.
     fn progress(&mut self) -> Option<ReplyProgress<W::Reply>> {
         None
     }
-    /// Whether a further request can be taken now; until then it waits with the link.
+    /// Whether the protocol accepts another request now. Until it does, requests wait in the link's queue.
     fn can_send(&self) -> bool {
         true
     }
-    /// Whether nothing is out, and whatever comes now would be taken for the reply to the next request.
+    /// Whether no request is outstanding in a protocol without request numbers: bytes received now would be taken
+    /// for the reply to the next request.
     fn is_idle(&self) -> bool {
         false
     }
-    /// Moves on what waits elsewhere to be written; an error where it will never come.
+    /// Moves request body bytes that are available elsewhere to the outbox. Fails if the rest of a body will never
+    /// become available.
     fn fill(&mut self) -> Result<(), ProtocolError> {
         Ok(())
     }
-    /// Whether more should be read, with so many bytes unread.
+    /// Whether to read more from the node while `_unread` received bytes are not consumed yet.
     fn wants_read(&self, _unread: usize) -> bool {
         true
     }
-    /// For how long the next bytes may be waited for, with so many unread.
+    /// How long to wait for further bytes, in microseconds, while `unread` received bytes are not consumed yet.
+    /// `None` if no reply is incomplete.
     fn read_timeout(&self, unread: usize) -> Option<Time> {
         (unread > 0).then_some(REPLY_STALL_TIMEOUT)
     }
-    /// Wakes when there is something to move on; nothing, if that is not waited for.
+    /// Returns a future that completes when body bytes or space for them become available, or `None` if the
+    /// protocol waits for neither.
     fn wakeup(&self) -> Option<Wakeup> {
         None
     }
-    /// Takes back every request of which no byte has been written, and names it.
+    /// Removes every request of which no byte has been written, and returns their attempts.
     fn cancel_unsent(&mut self) -> Vec<AttemptId>;
-    /// The connection is over: how everything still out has ended.
+    /// Returns how each outstanding attempt has ended now that the connection is closed.
     fn connection_lost(&mut self) -> Vec<Ended<W::Reply>>;
 }
 
-/// An command to a link.
+/// A command from the planner's driver to a link.
 pub enum LinkCommand<W: Wire> {
-    /// Send an attempt, within these times.
+    /// Sends an attempt within the given times.
     Send(AttemptId, AttemptTimes, W::Request),
-    /// Nobody wants an attempt any more: if it has not begun, it is to be given back.
+    /// Returns an attempt to the planner if it has not begun, because its client no longer waits for it.
     Withdraw(AttemptId),
-    /// The node takes nothing more: what has not begun is to be given back.
+    /// Returns all attempts that have not begun, because the node accepts no further requests.
     StopSending,
 }
 
-/// How an attempt ended whose request lies before `position` in what was to be written: one whose last
-/// byte never left this machine cannot have run.
+/// Returns how an attempt ended when its connection is lost; `position` is the end of its request in the outbox.
+/// A request whose last byte was never written cannot have run.
 pub fn ending_after_loss(outbox: &Outbox, position: u64) -> Ending {
     match outbox.is_written(position) {
         true => Ending::Reset,
@@ -140,65 +144,66 @@
     }
 }
 
-/// Until when what may be written to nodes.
+/// The times until which bytes may be written to nodes.
 #[derive(Debug)]
 pub struct SendDeadlines {
-    /// Anything: the end of this broker's lease, or for good where it needs none.
+    /// End of this broker's lease, after which nothing may be written. `Time::MAX` if the broker needs no lease.
     pub lease: Rc<Cell<Time>>,
-    /// The first byte of a request: as long as the list of nodes holds.
+    /// End of the validity of the list of nodes, after which no first byte of a request may be written.
     pub list: Cell<Time>,
 }
 
-/// The same, as links and those who set it share it.
+/// The send deadlines, shared between the links and the tasks that set them.
 pub type Permit = Rc<SendDeadlines>;
 
-/// Where a link connects to and whom it reports to.
+/// The task of one link: the node it connects to, its queue, and the planner it reports to.
 pub struct LinkTask<W: Wire, X> {
-    /// Its number.
+    /// Number of the link.
     pub id: LinkId,
-    /// The node's address.
+    /// Address of the node.
     pub address: String,
-    /// How long the connection may take to come up.
+    /// Time limit for establishing the connection.
     pub connect_timeout: Duration,
-    /// The protocol.
+    /// Client side of the protocol.
     pub exchange: X,
-    /// Orders; the link closes without a word when the sender is dropped.
+    /// Commands for the link. It closes without a report when the sender is dropped.
     pub commands: UnboundedReceiver<LinkCommand<W>>,
-    /// The planner.
+    /// Input channel of the planner.
     pub planner: UnboundedSender<Input<W>>,
-    /// The time, and how late this process runs.
+    /// The current time, and the scheduling lag of this process.
     pub loop_clock: LoopClock,
-    /// Room for replies that are not whole yet.
+    /// Memory budget for incomplete replies.
     pub budget: BufferBudget,
-    /// Until when anything may be written.
+    /// The times until which bytes may be written.
     pub permit: Permit,
-    /// Whom each attempt asks before it begins.
+    /// The guard that every attempt passes before it begins.
     pub guard: Guard,
-    /// Attempts that have not begun, in their command; each ends by being handed over when the connection can take it, by
-    /// being given back, or with the link.
+    /// Attempts that have not begun, in order of arrival. Each is passed to the protocol when the connection can
+    /// take it, returned to the planner, or ended together with the link.
     pub queue: VecDeque<Waiting<W>>,
 }
 
 /// Why an attempt was not sent by its link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum NotSent {
-    /// Nobody wants it any more.
+    /// Its client no longer waits for it.
     Withdrawn,
-    /// Its node takes nothing more, or the list of nodes is out of date.
+    /// Its node accepts no further requests, or the list of nodes has expired.
     Barred,
-    /// The guard said no.
+    /// The guard rejected it.
     Denied(Denied),
 }
 
-/// The least that a node is told to have for its answer, in microseconds: the wire counts milliseconds.
-const LEAST_TOLD: Time = 1_000;
+/// Least time for its answer that a request states to the node, in microseconds. The protocol counts whole
+/// milliseconds, so a smaller value would be sent as zero.
+const MIN_ANSWER_TIME: Time = 1_000;
 
-/// An attempt that waits for its link.
+/// An attempt that waits in the queue of its link.
 pub type Waiting<W> = (AttemptId, AttemptTimes, <W as Wire>::Request);
 
 impl<W: Wire, X: Exchange<W>> LinkTask<W, X> {
-    /// Connects, carries attempts, and reports how each ended, until the connection breaks or the planner
-    /// lets go of it.
+    /// Connects, carries attempts, and reports how each ended, until the connection is lost or the planner
+    /// closes the link.
     pub async fn run(mut self) {
         let down = match self.connect().await {
             None => return,
@@ -216,7 +221,7 @@
                 let port = stream.local_addr().map_or(0, |address| address.port());
                 tracing::debug!(link = self.id, address = self.address, port, "link up");
                 let _ = self.planner.send(Input::LinkUp(self.id));
-                let Some(reason) = self.carry(stream).await else { return };
+                let Some(reason) = self.serve_connection(stream).await else { return };
                 tracing::debug!(link = self.id, reason, "link ended");
                 match reason == UNSOLICITED_REPLY.0 {
                     true => LinkEnd::Repeated,
@@ -224,10 +229,11 @@
                 }
             }
         };
-        // Orders that crossed the end were never written. A node that closes an idle connection is not out of reach.
+        // Commands that arrived while the connection ended were never written. Their attempts end as `NotSent`, because
+        // a node that closes an idle connection is still reachable.
         self.commands.close();
         while let Ok(command) = self.commands.try_recv() {
-            self.take(command);
+            self.handle(command);
         }
         let never = match down {
             LinkEnd::Never => Ending::Unreachable,
@@ -243,7 +249,7 @@
         let _ = self.planner.send(Input::LinkDown(self.id, down));
     }
 
-    /// The connection; nothing when the planner lets go before it is up.
+    /// Opens the connection. Returns `None` if the planner closes the link before the connection is up.
     async fn connect(&mut self) -> Option<Result<TcpStream, (LinkEnd, String)>> {
         let address = self.address.clone();
         let connect = tokio::time::timeout(self.connect_timeout, TcpStream::connect(address));
@@ -261,77 +267,79 @@
                 }),
                 command = self.commands.recv() => {
                     let command = command?;
-                    self.take(command);
+                    self.handle(command);
                 }
             }
         }
     }
 
-    fn take(&mut self, command: LinkCommand<W>) {
+    fn handle(&mut self, command: LinkCommand<W>) {
         match command {
             LinkCommand::Send(tag, span, request) => self.queue.push_back((tag, span, request)),
             LinkCommand::Withdraw(tag) => {
-                if let Some(place) = self.queue.iter().position(|(waiting, ..)| *waiting == tag) {
-                    self.queue.remove(place);
-                    self.never_sent(tag, NotSent::Withdrawn);
+                if let Some(index) = self.queue.iter().position(|(waiting, ..)| *waiting == tag) {
+                    self.queue.remove(index);
+                    self.report_not_sent(tag, NotSent::Withdrawn);
                 }
             }
-            LinkCommand::StopSending => self.give_back(),
+            LinkCommand::StopSending => self.return_unsent(),
         }
     }
 
-    fn never_sent(&self, tag: AttemptId, reason: NotSent) {
+    fn report_not_sent(&self, tag: AttemptId, reason: NotSent) {
         let (id, attempt) = tag;
         tracing::debug!(link = self.id, id, attempt, address = self.address, ?reason, "given back");
         let _ =
             self.planner.send(Input::AttemptEnded(self.id, tag, AttemptEnd::without_reply(Ending::NotSent)));
     }
 
-    /// Gives back what has not begun, as never sent.
-    fn give_back(&mut self) {
-        let handed = self.exchange.cancel_unsent().into_iter();
+    /// Returns all attempts that have not begun to the planner as not sent.
+    fn return_unsent(&mut self) {
+        let queued = self.exchange.cancel_unsent().into_iter();
         let waiting = std::mem::take(&mut self.queue).into_iter().map(|(tag, ..)| tag);
-        handed.chain(waiting).for_each(|tag| self.never_sent(tag, NotSent::Barred));
+        queued.chain(waiting).for_each(|tag| self.report_not_sent(tag, NotSent::Barred));
     }
 
-    /// Whether the next attempt can begin as soon as the socket takes bytes.
-    fn could_begin(&mut self) -> bool {
+    /// Whether the next attempt can begin as soon as the socket is writable.
+    fn can_begin(&mut self) -> bool {
         !self.queue.is_empty() && self.exchange.can_send() && self.exchange.outbox().is_empty()
     }
 
-    /// Hands over the next attempt that may begin at `now`. One whose time for that is over is given back.
-    fn begin(&mut self, now: Time) {
-        while self.could_begin() {
+    /// Passes the next attempt that may begin at `now` to the protocol. An attempt that the guard rejects, for example
+    /// because its time to begin is over, is returned to the planner.
+    fn begin_next(&mut self, now: Time) {
+        while self.can_begin() {
             let Some((tag, span, request)) = self.queue.pop_front() else { return };
             match self.guard.begin(tag, now, span.begin_by, span.until) {
-                Ok(()) => self.exchange.send(tag, (span.until - now).max(LEAST_TOLD), request),
-                Err(denied) => self.never_sent(tag, NotSent::Denied(denied)),
+                Ok(()) => self.exchange.send(tag, (span.until - now).max(MIN_ANSWER_TIME), request),
+                Err(denied) => self.report_not_sent(tag, NotSent::Denied(denied)),
             }
         }
     }
 
-    /// Reads and writes until the connection ends, which gives the reason, or the planner lets go.
-    async fn carry(&mut self, stream: TcpStream) -> Option<String> {
-        let mut unread_part =
-            Unread { read: BytesMut::new(), part: self.budget.empty_reservation(), told: None };
-        // Others have been given way to before an attempt begins.
+    /// Reads and writes until the connection ends, and returns the reason. Returns `None` if the planner closes the
+    /// link.
+    async fn serve_connection(&mut self, stream: TcpStream) -> Option<String> {
+        let mut partial =
+            PartialReply { bytes: BytesMut::new(), part: self.budget.empty_reservation(), reported: None };
+        // Whether the other tasks have run since the socket became writable, so that an attempt may begin.
         let mut caught_up = false;
         loop {
             if let Err(e) = self.exchange.fill() {
                 return Some(e.to_string());
             }
-            let waiting = !self.exchange.outbox().is_empty() || self.could_begin();
-            let listens = self.exchange.wants_read(unread_part.read.len());
+            let waiting = !self.exchange.outbox().is_empty() || self.can_begin();
+            let listens = self.exchange.wants_read(partial.bytes.len());
             let wakeup = self.exchange.wakeup();
             tokio::select! {
-                // Reading comes first: a node that has closed is seen before a request is written to it.
+                // Reads come first, so that a node's close is noticed before a request is written to it.
                 biased;
                 ready = stream.readable(), if listens => {
                     if let Err(e) = ready {
                         return Some(e.to_string());
                     }
-                    unread_part.read.reserve(READ);
-                    match stream.try_read_buf(&mut unread_part.read) {
+                    partial.bytes.reserve(READ_SIZE);
+                    match stream.try_read_buf(&mut partial.bytes) {
                         Ok(0) => return Some("closed by the node".to_string()),
                         Ok(_) => {}
                         Err(e) if is_short_of_memory(&e) => {
@@ -341,45 +349,48 @@
                         Err(e) if is_transient(&e) => continue,
                         Err(e) => return Some(e.to_string()),
                     }
-                    if let Err(reason) = self.receive(&mut unread_part) {
+                    if let Err(reason) = self.receive(&mut partial) {
                         return Some(reason);
                     }
                 }
                 () = wait_for(wakeup) => {
-                    if let Err(reason) = self.receive(&mut unread_part) {
+                    if let Err(reason) = self.receive(&mut partial) {
                         return Some(reason);
                     }
                 }
-                // Then commands: what is withdrawn must not be written first.
+                // Commands come before writes, so that a withdrawn attempt is not written.
                 command = self.commands.recv() => {
                     let command = command?;
-                    self.take(command);
+                    self.handle(command);
                 }
                 ready = stream.writable(), if waiting => {
                     if let Err(e) = ready {
                         return Some(e.to_string());
                     }
-                    if self.could_begin() && !caught_up {
-                        // A client may have gone while nobody read, and its request not be wanted any more.
+                    if self.can_begin() && !caught_up {
+                        // During a stall of this process, a client may have closed its connection without this being
+                        // noticed. Its task must run first, so that its request is withdrawn.
                         caught_up = true;
                         self.loop_clock.catch_up().await;
                         continue;
                     }
                     caught_up = false;
-                    if self.could_begin() && self.exchange.is_idle() && unread(&stream) != Lying::Nothing {
-                        // A second answer, or the node's end: nothing is begun behind it. It is read first.
+                    if self.can_begin() && self.exchange.is_idle() && unread(&stream) != Unread::Nothing {
+                        // Unread bytes are a second reply to an earlier request or the node's close. They are read
+                        // before another request begins, since they would be taken for its reply.
                         tokio::task::yield_now().await;
                         continue;
                     }
-                    // Here, and nowhere before: what is not handed to the socket has not been sent.
+                    // The deadlines are checked here, immediately before the write, because bytes count as sent only once
+                    // they are passed to the socket.
                     let now = self.loop_clock.now();
                     if now >= self.permit.lease.get() {
                         return Some("no lease".to_string());
                     }
                     if now >= self.permit.list.get() {
-                        self.give_back();
+                        self.return_unsent();
                     }
-                    self.begin(now);
+                    self.begin_next(now);
                     if let Err(e) = self.exchange.fill() {
                         return Some(e.to_string());
                     }
@@ -398,11 +409,11 @@
         }
     }
 
-    /// Has the exchange take what was read, and reports what came of it.
-    fn receive(&mut self, unread: &mut Unread) -> Result<(), String> {
+    /// Passes the received bytes to the protocol, and reports the results to the planner.
+    fn receive(&mut self, partial: &mut PartialReply) -> Result<(), String> {
         let mut ended = Vec::new();
         loop {
-            let result = self.exchange.receive(&mut unread.read, &mut ended);
+            let result = self.exchange.receive(&mut partial.bytes, &mut ended);
             for (tag, end) in ended.drain(..) {
                 let _ = self.planner.send(Input::AttemptEnded(self.id, tag, end));
             }
@@ -413,37 +424,37 @@
                 Some(ReplyProgress::Complete) => drop(self.planner.send(Input::ReplyFinished(self.id))),
                 None => {
                     if let Err(e) = result {
-                        tracing::warn!(address = self.address, "node broke the protocol: {e}");
+                        tracing::warn!(address = self.address, "node violated the protocol: {e}");
                         return Err(e.to_string());
                     }
                     break;
                 }
             }
         }
-        let (now, patience) = (self.loop_clock.now(), self.exchange.read_timeout(unread.read.len()));
-        let told = unread.told.map(|(patience, _)| patience);
-        let lately = unread.told.is_some_and(|(_, at)| now - at < COMING);
-        // Of a short reply each part is told; of a long one, now and then.
-        if told != patience || (patience.is_some() && !(lately && patience > Some(REPLY_STALL_TIMEOUT))) {
-            unread.told = patience.map(|patience| (patience, now));
-            let _ = self.planner.send(Input::PartialReply(self.id, patience));
+        let (now, timeout) = (self.loop_clock.now(), self.exchange.read_timeout(partial.bytes.len()));
+        let reported = partial.reported.map(|(timeout, _)| timeout);
+        let recently = partial.reported.is_some_and(|(_, at)| now - at < PROGRESS_REPORT_INTERVAL);
+        // Each part of a short reply is reported; for a long reply, reports are limited in rate.
+        if reported != timeout || (timeout.is_some() && !(recently && timeout > Some(REPLY_STALL_TIMEOUT))) {
+            partial.reported = timeout.map(|timeout| (timeout, now));
+            let _ = self.planner.send(Input::PartialReply(self.id, timeout));
         }
-        if unread.read.is_empty() {
-            // An idle link must not pin the buffer of its last reply.
-            unread.read = BytesMut::new();
+        if partial.bytes.is_empty() {
+            // Releases the buffer, so that an idle link does not hold the memory of its last reply.
+            partial.bytes = BytesMut::new();
         }
-        if !unread.part.resize(unread.read.len().saturating_sub(READ)) {
-            tracing::warn!(address = self.address, "no room for a reply");
-            return Err("no room for a reply".to_string());
+        if !partial.part.resize(partial.bytes.len().saturating_sub(READ_SIZE)) {
+            tracing::warn!(address = self.address, "no buffer budget left for a reply");
+            return Err("no buffer budget left for a reply".to_string());
         }
         Ok(())
     }
 }
 
-/// What was read of a node and is not whole yet.
-struct Unread {
-    read: BytesMut,
+/// The bytes of an incomplete reply.
+struct PartialReply {
+    bytes: BytesMut,
     part: Reservation,
-    /// For how long the planner was told that more may be waited for, and when.
-    told: Option<(Time, Time)>,
+    /// The read timeout last reported to the planner, and when it was reported.
+    reported: Option<(Time, Time)>,
 }
--- a/src/wire/outbox.rs
+++ b/src/wire/outbox.rs
@@ -1,14 +1,14 @@
-//! Bytes that wait to be written. It counts what has gone out, since whether a request's last byte was
-//! written decides whether it may have run.
+//! The queue of bytes that wait to be written to a connection. It counts the bytes written, because a request may have
+//! run only if its last byte was written.
 
 use bytes::{Buf, Bytes};
 use std::collections::VecDeque;
 use std::io::IoSlice;
 
-/// Most chunks handed to one write.
-const MOST_SLICES: usize = 32;
+/// Most chunks passed to one vectored write.
+const MAX_SLICES: usize = 32;
 
-/// Chunks in order, with counters of all bytes ever queued and written.
+/// Chunks in order, with counters of all bytes ever queued and ever written.
 #[derive(Debug, Default)]
 pub struct Outbox {
     chunks: VecDeque<Bytes>,
@@ -17,7 +17,7 @@
 }
 
 impl Outbox {
-    /// Queues a chunk.
+    /// Appends a chunk.
     pub fn push(&mut self, chunk: impl Into<Bytes>) {
         let chunk = chunk.into();
         if !chunk.is_empty() {
@@ -26,22 +26,23 @@
         }
     }
 
-    /// Position behind the last byte queued: what is queued now is out once [`Outbox::is_written`] says so.
+    /// Returns the position behind the last byte queued. Everything queued so far has been written once
+    /// [`Outbox::is_written`] is true for this position.
     pub fn end(&self) -> u64 {
         self.queued
     }
 
-    /// Whether everything before a position has been written.
+    /// Whether all bytes before `position` have been written.
     pub fn is_written(&self, position: u64) -> bool {
         self.written >= position
     }
 
-    /// Whether any byte behind a position has been written.
+    /// Whether any byte at or after the position `start` has been written.
     pub fn has_begun(&self, start: u64) -> bool {
         self.written > start
     }
 
-    /// Takes back what was queued from a position on, of which nothing may have been written.
+    /// Removes the chunks queued from the position `start` on. None of their bytes may have been written.
     pub fn truncate(&mut self, start: u64) {
         debug_assert!(!self.has_begun(start));
         while self.queued > start.max(self.written) {
@@ -50,22 +51,22 @@
         }
     }
 
-    /// Whether nothing waits.
+    /// Whether no bytes wait to be written.
     pub fn is_empty(&self) -> bool {
         self.chunks.is_empty()
     }
 
-    /// Bytes that wait.
+    /// Returns the number of bytes that wait to be written.
     pub fn len(&self) -> u64 {
         self.queued - self.written
     }
 
-    /// The first chunks, for one vectored write.
+    /// Returns the first chunks, for one vectored write.
     pub fn slices(&self) -> Vec<IoSlice<'_>> {
-        self.chunks.iter().take(MOST_SLICES).map(|c| IoSlice::new(c)).collect()
+        self.chunks.iter().take(MAX_SLICES).map(|c| IoSlice::new(c)).collect()
     }
 
-    /// Drops what was written.
+    /// Removes `bytes` bytes from the front after they have been written.
     pub fn wrote(&mut self, mut bytes: usize) {
         self.written += bytes as u64;
         while let Some(first) = self.chunks.front_mut() {
@@ -84,7 +85,7 @@
     use super::*;
 
     #[test]
-    fn a_position_is_past_only_when_its_last_byte_is_written() {
+    fn a_position_is_written_only_when_its_last_byte_is_written() {
         let mut outbox = Outbox::default();
         outbox.push(&b"head"[..]);
         outbox.push(&b""[..]);
@@ -102,7 +103,11 @@
         outbox.push(&b"sent"[..]);
         assert!(!outbox.has_begun(begun) && !outbox.has_begun(first));
         outbox.truncate(begun);
-        assert_eq!((outbox.end(), outbox.len()), (begun, 8), "whole chunks behind a position go");
+        assert_eq!(
+            (outbox.end(), outbox.len()),
+            (begun, 8),
+            "complete chunks after the position are removed"
+        );
         outbox.wrote(8);
         assert!(outbox.is_empty() && outbox.has_begun(first));
     }
--- a/src/wire/watch.rs
+++ b/src/wire/watch.rs
@@ -1,5 +1,5 @@
-//! The watch on discovery: the driver of one connection to it. When it calls and what it may rely on says
-//! [`ListValidity`].
+//! The watch on discovery: the driver of one connection to the discovery service. [`ListValidity`] decides when to call
+//! and how long the list of nodes stays valid.
 
 use super::discovery::{self, Listing, NodeNumbers, Response};
 use super::socket::{connect_failure, is_short_of_memory, is_transient, ConnectFailure};
@@ -21,56 +21,58 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::watch;
 
-/// How long nothing more may come of an answer that has begun: what is written counts as told.
-const REST: Duration = Duration::from_millis(100);
-/// How long all of it may take, however it drips.
-const WHOLE: Duration = Duration::from_millis(500);
-/// Room for a read.
-const READ: usize = 64 * 1024;
-/// Nodes of a list that are told at once.
-const MOST_AT_ONCE: usize = 128;
-/// How long the connection may take to come up.
-const CONNECT: Duration = Duration::from_millis(1_000);
+/// Longest gap within a response that has begun. Discovery counts a response that it has written as delivered, so an
+/// incomplete one invalidates the list.
+const READ_GAP: Duration = Duration::from_millis(100);
+/// Time limit for a complete response once it has begun, however slowly its parts arrive.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Buffer space reserved for each read, in bytes.
+const READ_SIZE: usize = 64 * 1024;
+/// Most nodes that are passed to the planner in one input.
+const MAX_NODES_PER_INPUT: usize = 128;
+/// Time limit for establishing the connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Where discovery is and whom it is watched for.
+/// The task that watches discovery and passes changes of the list of nodes to the planner.
 pub struct WatchTask<W: Wire> {
-    /// Discovery's address; it may move while it is watched.
+    /// Address of discovery, which may change at run time.
     pub address: watch::Receiver<String>,
-    /// Version of the list that is known.
+    /// Revision of the list that is known.
     pub revision: Rc<Cell<u64>>,
-    /// Numbers of the nodes.
+    /// Mapping from node names to node ids.
     pub numbers: NodeNumbers,
-    /// Names of the zones.
+    /// Names of the zones, in the order of the settings.
     pub zones: Rc<RefCell<Vec<String>>>,
-    /// The planner.
+    /// Input channel of the planner.
     pub planner: UnboundedSender<Input<W>>,
-    /// What is laid over every list.
+    /// Maintenance state (nodes taken out by operators), which is applied to every list.
     pub maintenance: Rc<RefCell<Maintenance>>,
-    /// When to call, and until when the list holds.
+    /// Decides when to call, and until when the list is valid.
     pub list_validity: ListValidity,
-    /// What the settings say of lists; they may change.
+    /// Settings for lists, which may change at run time.
     pub terms: Rc<Cell<Terms>>,
-    /// Where links see until when the list holds.
+    /// Send deadlines of the links; the watch sets the end of the list's validity.
     pub permit: Permit,
-    /// When nodes have started, by this machine's clock.
+    /// Start times of the nodes, converted to this machine's clock.
     pub starts: StartTimes,
-    /// The time, and how late this process runs.
+    /// The current time, and the scheduling lag of this process.
     pub loop_clock: LoopClock,
 }
 
-/// A connection that serves another call.
-type Kept = Option<TcpStream>;
-/// A call that is out.
-type Calling = Pin<Box<dyn Future<Output = Result<(Response, Kept), (Failure, String)>>>>;
+/// A connection that can be reused for another call, if there is one.
+type KeptConnection = Option<TcpStream>;
+/// A call in progress.
+type PendingCall = Pin<Box<dyn Future<Output = Result<(Response, KeptConnection), (Failure, String)>>>>;
 
 impl<W: Wire> WatchTask<W> {
-    /// Watches for good, and lets nothing new go to nodes while something may count as told that it does not know.
+    /// Watches discovery forever. While discovery may count this broker as notified of a change that it does not know,
+    /// no new request goes to any node.
     pub async fn run(mut self) {
-        let mut calling: Option<Calling> = None;
-        let mut kept: Kept = None;
+        let mut pending: Option<PendingCall> = None;
+        let mut kept: KeptConnection = None;
         let mut held = false;
         loop {
-            // A call is not given up, nor the list held to be old, for what lies unread here.
+            // Data that waits unread because this process stalled must not make a call time out or the list expire.
             self.loop_clock.catch_up().await;
             let now = self.loop_clock.now();
             self.list_validity.set_terms(self.terms.get());
@@ -79,10 +81,10 @@
                 Step::Call(wait) => {
                     let address = self.address.borrow_and_update().clone();
                     let (revision, loop_clock) = (self.revision.get(), self.loop_clock.clone());
-                    calling = Some(Box::pin(call(address, revision, wait, kept.take(), loop_clock)));
+                    pending = Some(Box::pin(call(address, revision, wait, kept.take(), loop_clock)));
                 }
                 Step::GiveUp => {
-                    calling = None;
+                    pending = None;
                     tracing::warn!(reason = "silent", "list of nodes lost");
                     continue;
                 }
@@ -99,16 +101,16 @@
             let deadline = self.list_validity.next_deadline();
             let wake = if held { deadline } else { deadline.min(until) };
             tokio::select! {
-                // What has come is read before time is found to be up.
+                // A response that has arrived is read before the timer is checked.
                 biased;
-                answer = answer(&mut calling) => {
-                    calling = None;
-                    tracing::debug!(waited = self.loop_clock.now() - now, ok = answer.is_ok(), "call to discovery");
-                    match answer.and_then(|(response, keep)| Ok((self.listing(response)?, keep))) {
+                result = response(&mut pending) => {
+                    pending = None;
+                    tracing::debug!(waited = self.loop_clock.now() - now, ok = result.is_ok(), "call to discovery");
+                    match result.and_then(|(response, keep)| Ok((self.listing(response)?, keep))) {
                         Ok((listing, keep)) => {
                             kept = keep;
                             self.list_validity.answered(self.loop_clock.now());
-                            if !self.take(listing).await {
+                            if !self.apply(listing).await {
                                 return;
                             }
                         }
@@ -122,8 +124,8 @@
                     if moved.is_err() {
                         return;
                     }
-                    // The version holds at the new address, too: nothing that was told is asked for again.
-                    (calling, kept) = (None, None);
+                    // The revision is valid at the new address, too, so known changes are not requested again.
+                    (pending, kept) = (None, None);
                     self.list_validity.endpoint_changed(self.loop_clock.now());
                 }
                 () = tokio::time::sleep_until(self.loop_clock.clock().instant(wake).into()) => {}
@@ -131,34 +133,34 @@
         }
     }
 
-    /// The list in a response. One that is older than what is known tells nothing.
+    /// Returns the list in a response. A list older than the known one counts as a failure.
     fn listing(&self, response: Response) -> Result<Listing, (Failure, String)> {
         match response {
             Response::Status(status) => Err((Failure::Rejected, format!("status {status}"))),
             Response::Listing(listing) if listing.revision < self.revision.get() => {
-                Err((Failure::Rejected, format!("version {} is older than what is known", listing.revision)))
+                Err((Failure::Rejected, format!("revision {} is older than the known one", listing.revision)))
             }
             Response::Listing(listing) => Ok(listing),
         }
     }
 
-    /// Takes a list; false if the planner is gone. Only what has changed goes on, in parts between which others are given
-    /// way to: what a long list says must not hold up an answer.
-    async fn take(&mut self, listing: Listing) -> bool {
+    /// Applies a list; returns false if the planner has ended. Only changes are forwarded, in parts, and other tasks run
+    /// between the parts, so that a long list does not delay answers to clients.
+    async fn apply(&mut self, listing: Listing) -> bool {
         let now = self.loop_clock.now();
         self.revision.set(listing.revision);
         let kind = listing.kind();
         let mut listed = listing.into_listed(&mut self.numbers, &self.zones.borrow());
-        self.date(now, &mut listed);
+        self.adopt_starts(now, &mut listed);
         let named = listed.len();
         let mut members = self.maintenance.borrow_mut().apply_changes(now, kind, listed);
-        self.loop_clock.record_blocking("laying a list over the last one", now);
+        self.loop_clock.record_blocking("applying a list of nodes", now);
         if named > 0 || !members.is_empty() {
             let (revision, changed) = (self.revision.get(), members.len());
             tracing::info!(?kind, revision, nodes = named, changed, "list of nodes");
         }
         while !members.is_empty() {
-            let rest = members.split_off(members.len().min(MOST_AT_ONCE));
+            let rest = members.split_off(members.len().min(MAX_NODES_PER_INPUT));
             if self.planner.send(Input::Nodes(ListKind::Changes, members)).is_err() {
                 return false;
             }
@@ -168,8 +170,9 @@
         true
     }
 
-    /// Puts this machine's clock in the place of the wall clock.
-    fn date(&mut self, now: Time, listed: &mut [NamedNode]) {
+    /// Converts the start times in the list from the wall clock to this machine's clock, and updates the start times of
+    /// known nodes if the wall clock was stepped.
+    fn adopt_starts(&mut self, now: Time, listed: &mut [NamedNode]) {
         let moved = self.starts.begin_list(self.loop_clock.clock().wall_clock_drift());
         let moved: Vec<NamedNode> = self.maintenance.borrow().with_starts(moved);
         for listed in listed {
@@ -184,58 +187,69 @@
     }
 }
 
-/// Waits for the answer to the call that is out, or for good.
-async fn answer(calling: &mut Option<Calling>) -> Result<(Response, Kept), (Failure, String)> {
-    match calling {
-        Some(calling) => calling.await,
+/// Waits for the response to the call in progress, or forever if there is none.
+async fn response(
+    pending: &mut Option<PendingCall>,
+) -> Result<(Response, KeptConnection), (Failure, String)> {
+    match pending {
+        Some(pending) => pending.await,
         None => std::future::pending().await,
     }
 }
 
-/// One call, on the connection that is kept or a new one.
+/// Makes one call, on the kept connection or a new one. Returns the response, and the connection if it can be reused.
 async fn call(
     address: String,
     revision: u64,
     wait: Time,
-    kept: Kept,
+    kept: KeptConnection,
     loop_clock: LoopClock,
-) -> Result<(Response, Kept), (Failure, String)> {
+) -> Result<(Response, KeptConnection), (Failure, String)> {
     let stream = match kept {
         Some(stream) => stream,
         None => connect(&address).await?,
     };
     let call = discovery::watch_request(&address, revision, (wait / 1000).max(1));
     write_all(&stream, call.as_bytes()).await.map_err(|e| (Failure::Rejected, e.to_string()))?;
-    let mut read = BytesMut::with_capacity(READ);
-    // How long has been waited for more of an answer that has begun. What this process itself was late is no wait.
+    let mut read = BytesMut::with_capacity(READ_SIZE);
+    // How long this call has waited for the rest of a response that has begun. Each wait counts at most as `READ_GAP`, so
+    // that a stall of this process is not held against discovery.
     let mut waited = None;
     loop {
         let failure = if waited.is_some() { Failure::Malformed } else { Failure::Rejected };
         let from = tokio::time::Instant::now();
-        let came = match waited {
+        let readable = match waited {
             None => stream.readable().await,
             Some(waited) => {
-                let patience = REST.min(WHOLE.saturating_sub(waited));
-                match tokio::time::timeout(patience, stream.readable()).await {
-                    Ok(came) => came,
-                    Err(_) => return Err((failure, "the rest of an answer does not come".to_string())),
+                let timeout = READ_GAP.min(RESPONSE_TIMEOUT.saturating_sub(waited));
+                match tokio::time::timeout(timeout, stream.readable()).await {
+                    Ok(readable) => readable,
+                    Err(_) => {
+                        return Err((
+                            failure,
+                            "response incomplete: the rest did not arrive in time".to_string(),
+                        ))
+                    }
                 }
             }
         };
-        came.map_err(|e| (failure, e.to_string()))?;
-        let more = waited.map_or(Duration::ZERO, |waited: Duration| waited + from.elapsed().min(REST));
-        read.reserve(READ);
+        readable.map_err(|e| (failure, e.to_string()))?;
+        let more = waited.map_or(Duration::ZERO, |waited: Duration| waited + from.elapsed().min(READ_GAP));
+        read.reserve(READ_SIZE);
         match stream.try_read_buf(&mut read) {
             Err(e) if is_transient(&e) => {
                 waited = waited.map(|_| more);
                 continue;
             }
             Err(e) => return Err((failure, e.to_string())),
-            // The end is the end of an answer that tells no length; a reset is none.
+            // An orderly close ends a response that states no length; a reset does not.
             Ok(0) => {
                 return match discovery::decode_ended(&mut read) {
                     Ok(Some(response)) => Ok((response, None)),
-                    Ok(None) => Err((failure, "closed by discovery".to_string())),
+                    Ok(None) => Err((
+                        failure,
+                        "connection closed by discovery before the response was complete".to_string(),
+                    )),
                     Err(e) => Err((Failure::Malformed, e.to_string())),
                 }
             }
@@ -253,10 +267,11 @@
     }
 }
 
-/// A new connection to discovery. Only its own word says something of it: no descriptor or no route is this machine's.
+/// Opens a connection to discovery. Only a refusal or a reset says something about discovery; other errors, such as no
+/// free descriptor or no route, are local to this machine.
 async fn connect(address: &str) -> Result<TcpStream, (Failure, String)> {
-    match tokio::time::timeout(CONNECT, TcpStream::connect(address)).await {
-        Err(_) => Err((Failure::NotConnected, "connecting timed out".to_string())),
+    match tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
+        Err(_) => Err((Failure::NotConnected, "connecting to discovery timed out".to_string())),
         Ok(Ok(stream)) => Ok(stream),
         Ok(Err(e)) => {
             let failure = match (e.kind(), connect_failure(&e)) {
@@ -269,7 +284,7 @@
     }
 }
 
-/// Writes all of it, however little the system takes at once.
+/// Writes all bytes, with as many partial writes as needed.
 async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> std::io::Result<()> {
     while !bytes.is_empty() {
         stream.writable().await?;
