--- a/src/wire/admin/handler.rs
+++ b/src/wire/admin/handler.rs
@@ -1,4 +1,4 @@
-//! Carries the operators' calls out and words their answers.
+//! Executes the operators' calls and formats their answers.
 
 use super::{Call, CallError};
 use crate::interface::{ListKind, Time};
@@ -12,37 +12,39 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::{oneshot, watch};
 
-/// How long a call may take to be carried out: its caller waits a second.
-const SOON: Duration = Duration::from_millis(900);
+/// Time limit for the execution of a call. Callers wait for one second.
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Asks that what is to outlive this process be written down; told when it is, and whether that worked.
+/// A request to save the state that is to outlive this process. The sender reports when it is done and whether it
+/// succeeded.
 pub type SaveRequest = oneshot::Sender<bool>;
 
-/// What calls need of the cluster.
+/// The functions of the cluster that calls need.
 pub trait Cluster {
-    /// Who belongs, as a line of JSON; empty where this broker takes no part any more.
+    /// Returns the members as a line of JSON, or an empty text if this broker is no longer part of the cluster.
     fn members(&self) -> String;
-    /// Takes a node out everywhere, or puts it back. Told once that is agreed on, with the milliseconds until it holds.
+    /// Takes a node out of use at all brokers, or returns it to use. Once the cluster has agreed, the receiver yields the
+    /// milliseconds until the change is in force everywhere.
     fn drain(&self, name: &str, out: bool) -> oneshot::Receiver<u64>;
 }
 
-/// What the calls act on.
+/// The parts of the broker that calls act on.
 pub struct CallHandler<W: Wire> {
     /// The broker's phase.
     pub phase: Rc<watch::Sender<Phase>>,
-    /// The nodes that are out.
+    /// The nodes that are out of use.
     pub maintenance: Rc<RefCell<Maintenance>>,
-    /// The planner.
+    /// Input channel of the planner.
     pub planner: UnboundedSender<Input<W>>,
-    /// Who writes down what is to outlive this process, if there is a place for it.
+    /// Channel to the task that saves the state which is to outlive this process, if a place to save it is configured.
     pub state_saver: Option<UnboundedSender<SaveRequest>>,
-    /// The cluster, where there is one.
+    /// The cluster, if this broker is part of one.
     pub cluster: Option<Box<dyn Cluster>>,
-    /// The time.
+    /// The clock.
     pub clock: Clock,
 }
 
-/// Moves the broker's phase at a time; an error if there is no such way.
+/// Changes the broker's phase at the time `at`. Fails if the current phase does not allow the transition.
 pub fn change_phase(phase: &watch::Sender<Phase>, what: Transition, at: Time) -> Result<(), String> {
     let before = *phase.borrow();
     let after = before.after(what, at).map_err(|e| e.to_string())?;
@@ -54,11 +56,11 @@
 }
 
 impl<W: Wire> CallHandler<W> {
-    /// Carries a call out and gives the answer, a line without its end.
-    pub async fn take(&self, call: Result<Call, CallError>) -> String {
+    /// Executes a call and returns the answer, a line without its line end.
+    pub async fn execute(&self, call: Result<Call, CallError>) -> String {
         let outcome =
             match &call {
-                Err(wrong) => Err(wrong.to_string()),
+                Err(error) => Err(error.to_string()),
                 Ok(Call::Health) => self.health(),
                 Ok(Call::Node { name, out }) => self.node(name, *out).await,
                 Ok(Call::Leave) => change_phase(&self.phase, Transition::Leave, self.clock.now())
@@ -70,15 +72,15 @@
         match outcome {
             Ok(text) => format!("200 {text}"),
             Err(reason) => {
-                tracing::info!(?call, reason, "call turned down");
+                tracing::info!(?call, reason, "call rejected");
                 format!("400 {reason}")
             }
         }
     }
 
     fn members(&self) -> Result<String, String> {
-        let said = self.cluster.as_ref().map(|c| c.members()).ok_or("no cluster")?;
-        Some(said).filter(|s| !s.is_empty()).ok_or_else(|| "takes no part in the cluster".to_string())
+        let members = self.cluster.as_ref().map(|c| c.members()).ok_or("no cluster")?;
+        Some(members).filter(|s| !s.is_empty()).ok_or_else(|| "takes no part in the cluster".to_string())
     }
 
     fn health(&self) -> Result<String, String> {
@@ -90,47 +92,49 @@
         }
     }
 
-    /// Answers once the scheduler knows and what was held for the node cannot go there any more.
+    /// Takes a node out of use, or returns it to use. Answers once the scheduler has been notified, so that requests queued
+    /// for the node are no longer sent to it.
     async fn node(&self, name: &str, out: bool) -> Result<String, String> {
         if let Some(cluster) = &self.cluster {
             if !self.maintenance.borrow().was_listed(name) {
                 return Err(Refused::NeverListed.to_string());
             }
-            let agreed = tokio::time::timeout(SOON, cluster.drain(name, out)).await;
+            let agreed = tokio::time::timeout(CALL_TIMEOUT, cluster.drain(name, out)).await;
             let within = agreed.ok().and_then(Result::ok).ok_or("not agreed on")?;
             let word = if out { "out" } else { "in use" };
             return Ok(format!("{word}, everywhere within {within} ms"));
         }
-        let told =
+        let changed =
             self.maintenance.borrow_mut().set_out(self.clock.now(), name, out).map_err(|e| e.to_string())?;
-        let reached = notify_nodes(&self.planner, told);
-        let kept = self.state_saver.as_ref().map(|keeper| {
-            let (keep, kept) = oneshot::channel();
-            let _ = keeper.send(keep);
-            kept
+        let processed = notify_nodes(&self.planner, changed);
+        let saved = self.state_saver.as_ref().map(|saver| {
+            let (request, saved) = oneshot::channel();
+            let _ = saver.send(request);
+            saved
         });
         let done = async {
-            let _ = reached.await;
-            match kept {
+            let _ = processed.await;
+            match saved {
                 None => false,
-                Some(kept) => kept.await.unwrap_or(false),
+                Some(saved) => saved.await.unwrap_or(false),
             }
         };
-        let kept = tokio::time::timeout(SOON, done).await.map_err(|_| "not yet in force".to_string())?;
+        let saved =
+            tokio::time::timeout(CALL_TIMEOUT, done).await.map_err(|_| "not yet in force".to_string())?;
         let word = if out { "out" } else { "in use" };
-        Ok(if kept { word.to_string() } else { format!("{word}, in this process only") })
+        Ok(if saved { word.to_string() } else { format!("{word}, in this process only") })
     }
 }
 
-/// Tells the planner of nodes; done when the turn that took it is over.
+/// Notifies the planner of changed nodes. The receiver completes when the planner has processed them.
 pub fn notify_nodes<W: Wire>(
     planner: &UnboundedSender<Input<W>>,
-    told: Vec<ListedNode>,
+    changed: Vec<ListedNode>,
 ) -> oneshot::Receiver<()> {
-    let (reached, done) = oneshot::channel();
-    if !told.is_empty() {
-        let _ = planner.send(Input::Nodes(ListKind::Changes, told));
+    let (processed, done) = oneshot::channel();
+    if !changed.is_empty() {
+        let _ = planner.send(Input::Nodes(ListKind::Changes, changed));
     }
-    let _ = planner.send(Input::Barrier(reached));
+    let _ = planner.send(Input::Barrier(processed));
     done
 }
--- a/src/wire/admin/mod.rs
+++ b/src/wire/admin/mod.rs
@@ -1,5 +1,5 @@
-//! The operators' line calls: one line a connection, one line back. Sans-I/O; [`handler`] carries a call out and
-//! [`serve`] does the reading and writing.
+//! The operators' line protocol: one call per connection, answered with one line. Sans-I/O; [`handler`] executes a call
+//! and [`serve`] does the reading and writing.
 
 pub mod handler;
 pub mod serve;
@@ -10,78 +10,79 @@
 use winnow::token::take_while;
 use winnow::{ModalResult, Parser};
 
-/// Longest line: a call and an id.
-const MOST_LINE: usize = 512;
+/// Longest line in bytes, enough for a call and a node id.
+const MAX_LINE_BYTES: usize = 512;
 
-/// A call.
+/// A call of an operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process can serve.
+    /// Asks whether this process can serve.
     Health,
-    /// Leaves a node out, or lets it serve again.
+    /// Takes a node out of use, or returns it to use.
     Node {
-        /// Its name in the list.
+        /// Name of the node in the list of nodes.
         name: String,
-        /// Whether it is to be left out.
+        /// Whether the node is to be taken out of use.
         out: bool,
     },
-    /// Empties the broker.
+    /// Drains the broker, so that it can be taken out of service.
     Leave,
-    /// Ends that.
+    /// Ends the drain and returns the broker to service.
     Join,
-    /// Who belongs to the cluster, as this broker knows it.
+    /// Asks for the members of the cluster, as known to this broker.
     Members,
 }
 
-/// Why a line is no call.
+/// Why a line is not a valid call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// It does not end.
+    /// The line exceeds the greatest length.
     #[error("line too long")]
     TooLong,
-    /// It holds something else than printable ASCII.
+    /// The line contains bytes other than printable ASCII.
     #[error("not a line of text")]
     NotText,
-    /// The first word is none.
+    /// The first word is not the name of a call.
     #[error("unknown call; there are HEALTH, OFFLINE ID, ONLINE ID, LEAVE, JOIN, MEMBERS")]
     Unknown,
-    /// The call wants an id.
+    /// The call needs a node id, and none is given.
     #[error("the call needs the id of a disk node")]
     NoId,
-    /// There is more than the call takes.
+    /// The line has more words than the call takes.
     #[error("too many words")]
     TooMany,
 }
 
-/// The one line of a caller, once it is whole. What comes after it is not looked at.
+/// Returns the call of a connection once its line is complete, or `None` until then. Bytes after the line are ignored.
+/// `ended` tells whether the caller has closed its sending side.
 pub fn take(read: &mut BytesMut, ended: bool) -> Option<Result<Call, CallError>> {
     let end = read.iter().position(|b| *b == b'\n');
     match end {
-        Some(end) if end < MOST_LINE => {
+        Some(end) if end < MAX_LINE_BYTES => {
             let line = read.split_to(end + 1);
-            Some(call(line.strip_suffix(b"\r\n").unwrap_or(&line[..end])))
+            Some(parse_call(line.strip_suffix(b"\r\n").unwrap_or(&line[..end])))
         }
-        _ if read.len() >= MOST_LINE => Some(Err(CallError::TooLong)),
-        // A caller that ends its sending has ended its line.
-        _ if ended && !read.is_empty() => Some(call(&read.split())),
+        _ if read.len() >= MAX_LINE_BYTES => Some(Err(CallError::TooLong)),
+        // The end of input ends the line, too.
+        _ if ended && !read.is_empty() => Some(parse_call(&read.split())),
         _ => None,
     }
 }
 
-/// A line's words: one, and perhaps another.
+/// Parses the words of a line: one, and optionally a second one.
 fn words<'a>(line: &mut &'a str) -> ModalResult<(&'a str, Option<&'a str>)> {
     let word = || take_while(1.., |c: char| c != ' ');
     terminated((word(), opt(preceded(space1, word()))), space0).parse_next(line)
 }
 
-fn call(line: &[u8]) -> Result<Call, CallError> {
+fn parse_call(line: &[u8]) -> Result<Call, CallError> {
     if !line.iter().all(|b| *b == b' ' || b.is_ascii_graphic()) {
         return Err(CallError::NotText);
     }
     let text = std::str::from_utf8(line).map_err(|_| CallError::NotText)?;
     let mut rest = text;
     let (name, argument) = words.parse_next(&mut rest).map_err(|_| CallError::Unknown)?;
-    let plain = |call: Call| match argument {
+    let without_argument = |call: Call| match argument {
         None => Ok(call),
         Some(_) => Err(CallError::TooMany),
     };
@@ -91,12 +92,12 @@
         None => Err(CallError::NoId),
     };
     match name.to_ascii_uppercase().as_str() {
-        "HEALTH" => plain(Call::Health),
+        "HEALTH" => without_argument(Call::Health),
         "OFFLINE" => node(true),
         "ONLINE" => node(false),
-        "LEAVE" => plain(Call::Leave),
-        "JOIN" => plain(Call::Join),
-        "MEMBERS" => plain(Call::Members),
+        "LEAVE" => without_argument(Call::Leave),
+        "JOIN" => without_argument(Call::Join),
+        "MEMBERS" => without_argument(Call::Members),
         _ => Err(CallError::Unknown),
     }
 }
@@ -105,7 +106,7 @@
 mod tests {
     use super::*;
 
-    fn of(line: &[u8]) -> Option<Result<Call, CallError>> {
+    fn parse(line: &[u8]) -> Option<Result<Call, CallError>> {
         take(&mut BytesMut::from(line), false)
     }
 
@@ -113,15 +114,15 @@
         Call::Node { name: name.to_string(), out }
     }
 
-    /// Guards against a call that is taken for another, or half.
+    /// Guards against a call that is taken for another one, or only partly parsed.
     #[test]
-    fn a_line_is_one_call_or_a_plain_no() {
-        assert_eq!(of(b"HEALTH\r\n"), Some(Ok(Call::Health)));
-        assert_eq!(of(b"leave\n"), Some(Ok(Call::Leave)));
-        assert_eq!(of(b"JOIN \n"), Some(Ok(Call::Join)));
-        assert_eq!(of(b"MEMBERS\n"), Some(Ok(Call::Members)));
-        assert_eq!(of(b"OFFLINE s-5be2a07c\r\n"), Some(Ok(node("s-5be2a07c", true))));
-        assert_eq!(of(b"ONLINE  s-5be2a07c\n"), Some(Ok(node("s-5be2a07c", false))));
+    fn a_line_parses_to_one_call_or_an_error() {
+        assert_eq!(parse(b"HEALTH\r\n"), Some(Ok(Call::Health)));
+        assert_eq!(parse(b"leave\n"), Some(Ok(Call::Leave)));
+        assert_eq!(parse(b"JOIN \n"), Some(Ok(Call::Join)));
+        assert_eq!(parse(b"MEMBERS\n"), Some(Ok(Call::Members)));
+        assert_eq!(parse(b"OFFLINE s-5be2a07c\r\n"), Some(Ok(node("s-5be2a07c", true))));
+        assert_eq!(parse(b"ONLINE  s-5be2a07c\n"), Some(Ok(node("s-5be2a07c", false))));
         for (line, wrong) in [
             (&b"OFFLINE\n"[..], CallError::NoId),
             (b"ONLINE \r\n", CallError::NoId),
@@ -134,21 +135,21 @@
             (b"HEALTH\0\n", CallError::NotText),
             ("OFFLINE n\u{f6}\n".as_bytes(), CallError::NotText),
         ] {
-            assert_eq!(of(line), Some(Err(wrong)), "{line:?}");
+            assert_eq!(parse(line), Some(Err(wrong)), "{line:?}");
         }
     }
 
     #[test]
-    fn a_line_is_waited_for_but_not_beyond_its_length() {
-        let whole = b"OFFLINE s-5be2a07c\r\n";
-        for cut in 0..whole.len() {
-            let mut read = BytesMut::from(&whole[..cut]);
+    fn an_incomplete_line_is_awaited_up_to_the_greatest_length() {
+        let complete = b"OFFLINE s-5be2a07c\r\n";
+        for cut in 0..complete.len() {
+            let mut read = BytesMut::from(&complete[..cut]);
             assert_eq!(take(&mut read, false), None, "{cut} bytes");
-            read.extend_from_slice(&whole[cut..]);
+            read.extend_from_slice(&complete[cut..]);
             assert_eq!(take(&mut read, false), Some(Ok(node("s-5be2a07c", true))));
         }
-        assert_eq!(of(&[b'x'; MOST_LINE]), Some(Err(CallError::TooLong)));
-        assert_eq!(of(&[&[b'x'; MOST_LINE][..], b"\n"].concat()), Some(Err(CallError::TooLong)));
+        assert_eq!(parse(&[b'x'; MAX_LINE_BYTES]), Some(Err(CallError::TooLong)));
+        assert_eq!(parse(&[&[b'x'; MAX_LINE_BYTES][..], b"\n"].concat()), Some(Err(CallError::TooLong)));
         assert_eq!(take(&mut BytesMut::from(&b"HEALTH"[..]), true), Some(Ok(Call::Health)));
         assert_eq!(take(&mut BytesMut::new(), true), None);
     }
--- a/src/wire/admin/serve.rs
+++ b/src/wire/admin/serve.rs
@@ -1,4 +1,4 @@
-//! The operators' callers: the driver of one connection, and the taking of them.
+//! Accepts the connections of operators and drives each of them.
 
 use super::handler::CallHandler;
 use crate::state::accept_queue::AcceptQueue;
@@ -12,16 +12,17 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Callers at once. Descriptors are set aside for them.
+/// Most admin connections at once. File descriptors are reserved for them.
 pub const MAX_CONNECTIONS: usize = 16;
-/// How long a caller may take to finish its line.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// How long it may take to read its answer.
-const READING: Duration = Duration::from_secs(1);
-/// How long to wait when all places are taken.
-const FULL_RETRY: Duration = Duration::from_millis(2);
+/// Time limit for a caller to send its complete line.
+const LINE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time limit for a caller to read its answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay before the next check when all connection slots are taken.
+const FULL_RETRY_DELAY: Duration = Duration::from_millis(2);
 
-/// Takes callers for good. Where all places are taken, the one that has finished no line for longest gives way.
+/// Accepts connections forever. When all slots are taken, the connection that has waited longest without a complete line
+/// is closed.
 pub async fn accept<W: Wire>(listener: TcpListener, handler: Rc<CallHandler<W>>, slots: ClientSlots) {
     let mut queue = AcceptQueue::of_own_socket();
     loop {
@@ -29,7 +30,7 @@
             let now = handler.clock.now();
             queue.mark_waiting(now);
             while slots.evict_one(now, queue.pressure(now)) {}
-            tokio::time::sleep(FULL_RETRY).await;
+            tokio::time::sleep(FULL_RETRY_DELAY).await;
         }
         let accepted = match try_accept(&listener).await {
             Some(accepted) => accepted,
@@ -41,18 +42,18 @@
         match accepted {
             Ok(stream) => drop(tokio::task::spawn_local(serve(stream, handler.clone(), slots.take()))),
             Err(error) => {
-                tracing::warn!(%error, "cannot take a caller");
-                tokio::time::sleep(FULL_RETRY * 10).await;
+                tracing::warn!(%error, "accepting an admin connection failed");
+                tokio::time::sleep(FULL_RETRY_DELAY * 10).await;
             }
         }
     }
 }
 
-/// Carries one caller: a line, an answer, the end.
+/// Serves one connection: reads a line, writes the answer and closes.
 async fn serve<W: Wire>(mut stream: TcpStream, handler: Rc<CallHandler<W>>, slot: ClientSlot) {
     let now = handler.clock.now();
     slot.set_evictable(Some((EvictReason::Silent, now)));
-    slot.set_deadline(Some(now + PATIENCE.as_micros() as i64));
+    slot.set_deadline(Some(now + LINE_TIMEOUT.as_micros() as i64));
     let mut read = BytesMut::with_capacity(128);
     let call = loop {
         tokio::select! {
@@ -65,14 +66,14 @@
                     None => {}
                 }
             }
-            // Its place is wanted, or its time is over.
+            // The slot is needed for another connection, or the time limit is over.
             () = slot.woken() => return,
         }
     };
     slot.set_evictable(None);
     slot.set_deadline(None);
-    let answer = handler.take(call).await + "\r\n";
-    let written = tokio::time::timeout(READING, stream.write_all(answer.as_bytes())).await;
+    let answer = handler.execute(call).await + "\r\n";
+    let written = tokio::time::timeout(ANSWER_TIMEOUT, stream.write_all(answer.as_bytes())).await;
     if matches!(written, Ok(Ok(()))) {
         close(stream).await;
     }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! What is spoken. Each protocol is a state machine that is fed bytes and knows no socket; the thin
-//! drivers in [`link`], [`session`] and [`watch`] do the reading and writing.
+//! Network protocols. Each protocol is a state machine that consumes and produces bytes without any I/O. The drivers in
+//! [`link`], [`session`] and [`watch`] do the reading and writing.
 
 pub mod admin;
 pub mod clock;
--- a/src/wire/socket.rs
+++ b/src/wire/socket.rs
@@ -1,28 +1,28 @@
-//! What a socket holds at this moment, asked of the system itself, and what its errors say.
+//! Queries the kernel for unread data on a socket, and classifies socket errors.
 //!
-//! The runtime's own word on whether a socket can be read is as old as its last look at all sockets. Whoever closes a
-//! connection by a clock, or begins something on one that rested, must know what lies there now.
+//! The runtime's readiness state of a socket is only as recent as its last poll of all sockets. Code that closes a
+//! connection on a timer, or sends a request on an idle connection, needs to know whether unread data is present now.
 
 use std::io::{Error, ErrorKind};
 use std::mem::MaybeUninit;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// How long to rest after an error that is_transient, so that it is not met again and again at once.
+/// Delay before a retry after a transient error, which prevents a busy loop.
 pub const RETRY_DELAY: Duration = Duration::from_millis(2);
 
-/// What lies unread on a socket.
+/// Unread data on a socket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unread {
-    /// Nothing, and more may come.
+    /// No data is unread, and the connection is open.
     Nothing,
-    /// Some bytes.
+    /// At least one byte is unread.
     Bytes,
-    /// The other side's end, or an error.
+    /// The peer has closed the connection, or the socket has an error.
     End,
 }
 
-/// Looks at what lies unread on a socket, and takes nothing of it.
+/// Checks for unread data on a socket without consuming any.
 pub fn unread(stream: &TcpStream) -> Unread {
     let mut byte = [MaybeUninit::uninit()];
     loop {
@@ -30,7 +30,7 @@
             Ok(1..) => Unread::Bytes,
             Ok(0) => Unread::End,
             Err(error) if error.kind() == ErrorKind::Interrupted => continue,
-            // Not known: whoever reads finds out.
+            // The kernel lacks memory, so the state is unknown. `Bytes` makes the caller read, which tells.
             Err(error) if is_short_of_memory(&error) => Unread::Bytes,
             Err(error) if is_transient(&error) => Unread::Nothing,
             Err(_) => Unread::End,
@@ -38,7 +38,7 @@
     }
 }
 
-/// The next connection on a listening socket, if there is one by now.
+/// Accepts a connection if one is waiting on the listening socket; otherwise returns `None` without waiting.
 pub async fn try_accept(listener: &TcpListener) -> Option<std::io::Result<TcpStream>> {
     tokio::select! {
         biased;
@@ -47,34 +47,34 @@
     }
 }
 
-/// Whether an error of a read or a write says nothing about the connection: it works when tried again.
+/// Whether a read or write error says nothing about the connection, so that the operation can be retried.
 pub fn is_transient(error: &Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) || is_short_of_memory(error)
 }
 
-/// Whether the system had no memory for a moment: trying again at once would meet the same.
+/// Whether the system is temporarily out of memory. An immediate retry would fail again.
 pub fn is_short_of_memory(error: &Error) -> bool {
     matches!(error.raw_os_error(), Some(libc::ENOBUFS | libc::ENOMEM))
 }
 
-/// What a connection that did not come up says.
+/// Why a connection could not be established.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectFailure {
-    /// The other side said no, or nobody listens.
+    /// The peer refused or reset the connection, or no process listens.
     Refused,
-    /// It was waited for in vain, or the network has no way to that host.
+    /// The attempt timed out, or the network has no route to that host.
     Unreachable,
-    /// This machine could not try: no descriptor, port, memory or network. It says nothing about the other side.
+    /// This machine could not try, for lack of a descriptor, port, memory or network. It says nothing about the peer.
     Local,
 }
 
-/// What an error of a connect says.
+/// Classifies the error of a connect.
 pub fn connect_failure(error: &Error) -> ConnectFailure {
     match error.raw_os_error() {
         Some(libc::ECONNREFUSED | libc::ECONNRESET) => ConnectFailure::Refused,
         Some(libc::ETIMEDOUT | libc::EHOSTUNREACH | libc::EHOSTDOWN) => ConnectFailure::Unreachable,
         Some(_) => ConnectFailure::Local,
-        // A text that is no address, as a list may hold one.
+        // An error of name resolution: a list may contain a text that is not an address.
         None => ConnectFailure::Unreachable,
     }
 }
--- a/src/wire/socket/tests.rs
+++ b/src/wire/socket/tests.rs
@@ -1,12 +1,13 @@
-//! What errors say, and what lies on a socket.
+//! Tests for the classification of socket errors and for the detection of unread data.
 
 use super::*;
 
-/// Guards against a server that is taken for failing because this machine could not try, as Linux documents it.
+/// Guards against a server that counts as failing because this machine could not try to connect. The error codes are those
+/// that Linux documents for `connect`.
 #[test]
-fn errors_of_this_machine_say_nothing_of_the_other_side() {
-    let said = |code: i32| connect_failure(&Error::from_raw_os_error(code));
-    let here = [
+fn local_connect_errors_say_nothing_about_the_peer() {
+    let classify = |code: i32| connect_failure(&Error::from_raw_os_error(code));
+    let local_errors = [
         libc::EMFILE,
         libc::ENFILE,
         libc::ENOBUFS,
@@ -19,13 +20,13 @@
         libc::EPERM,
         libc::EAGAIN,
     ];
-    for code in here {
-        assert_eq!(said(code), ConnectFailure::Local, "{code}");
+    for code in local_errors {
+        assert_eq!(classify(code), ConnectFailure::Local, "{code}");
     }
     for code in [libc::ETIMEDOUT, libc::EHOSTUNREACH] {
-        assert_eq!(said(code), ConnectFailure::Unreachable, "{code}");
+        assert_eq!(classify(code), ConnectFailure::Unreachable, "{code}");
     }
-    assert_eq!(said(libc::ECONNREFUSED), ConnectFailure::Refused);
+    assert_eq!(classify(libc::ECONNREFUSED), ConnectFailure::Refused);
     for code in [libc::EINTR, libc::EAGAIN, libc::ENOBUFS, libc::ENOMEM] {
         assert!(is_transient(&Error::from_raw_os_error(code)), "{code}");
     }
@@ -35,19 +36,19 @@
 }
 
 #[tokio::test]
-async fn what_lies_on_a_socket_is_seen_without_a_look_by_the_runtime() {
+async fn unread_data_is_detected_without_a_poll_by_the_runtime() {
     use std::io::Write;
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut other =
+    let mut peer =
         std::net::TcpStream::connect(listener.local_addr().expect("an address")).expect("connects");
     let (own, _) = listener.accept().expect("accepts");
-    own.set_nonblocking(true).expect("does not wait");
+    own.set_nonblocking(true).expect("switches to non-blocking mode");
     let own = TcpStream::from_std(own).expect("a stream");
     assert_eq!(unread(&own), Unread::Nothing);
-    other.write_all(b"x").expect("writes");
+    peer.write_all(b"x").expect("writes");
     assert_eq!(unread(&own), Unread::Bytes);
-    assert_eq!(unread(&own), Unread::Bytes, "nothing was taken");
-    drop(other);
+    assert_eq!(unread(&own), Unread::Bytes, "the check consumes nothing");
+    drop(peer);
     let mut byte = [0];
     own.readable().await.expect("readable");
     assert_eq!(own.try_read(&mut byte).expect("reads"), 1);
