--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -1,4 +1,5 @@
-//! What checking costs the path of a request inside the broker: allocations, and that no data is copied.
+//! Measures what integrity checking costs on the request path inside the broker: the number of allocations, and that no data
+//! is copied.
 //! `cargo test --release --test allocations -- --nocapture` prints the counts.
 
 use bytes::Bytes;
@@ -20,6 +21,7 @@
 #[global_allocator]
 static ALLOCATOR: dhat::Alloc = dhat::Alloc;
 
+/// Size of the export in bytes.
 const SIZE: u64 = 16 << 20;
 
 fn settings() -> Settings {
@@ -77,7 +79,7 @@
     Rc::new(std::cell::RefCell::new(Rc::new(Catalogue(vec![Some(export)]))))
 }
 
-/// A planner with its stage, and a node that answers at once.
+/// A planner with its interceptor, and a stand-in node that answers at once.
 struct Broker<G> {
     planner: Planner<Nbd>,
     interceptor: G,
@@ -108,42 +110,42 @@
     }
 
     fn sweep(&mut self) {
-        let mut on = Vec::new();
-        self.interceptor.sweep(self.now, self.planner.open_by_shard(), &mut on);
-        self.carry(on);
+        let mut inputs = Vec::new();
+        self.interceptor.sweep(self.now, self.planner.open_by_shard(), &mut inputs);
+        self.run_turns(inputs);
     }
 
     fn turn(&mut self, input: Input<Nbd>) {
-        let mut on = Vec::new();
-        self.interceptor.take(self.now, input, &mut on);
-        self.carry(on);
+        let mut inputs = Vec::new();
+        self.interceptor.take(self.now, input, &mut inputs);
+        self.run_turns(inputs);
     }
 
-    /// Turns until nothing is left to be done.
-    fn carry(&mut self, mut on: Vec<Input<Nbd>>) {
+    /// Runs turns of the planner until no input is left.
+    fn run_turns(&mut self, mut inputs: Vec<Input<Nbd>>) {
         let mut effects = Vec::new();
         loop {
-            self.planner.turn(self.now, on.drain(..), &mut effects);
-            self.interceptor.collect_answers(self.now, &mut on);
+            self.planner.turn(self.now, inputs.drain(..), &mut effects);
+            self.interceptor.collect_answers(self.now, &mut inputs);
             for effect in effects.drain(..) {
                 if let Effect::Send(link, tag, _, request) = effect {
                     self.sent += 1;
-                    on.push(Input::AttemptEnded(link, tag, self.node(request)));
+                    inputs.push(Input::AttemptEnded(link, tag, self.node_reply(request)));
                 }
             }
-            if on.is_empty() {
+            if inputs.is_empty() {
                 return;
             }
         }
     }
 
-    fn node(&mut self, request: Request) -> AttemptEnd<Vec<Part>> {
-        let place = if request.export & SUMS != 0 { &mut self.sums } else { &mut self.data };
+    fn node_reply(&mut self, request: Request) -> AttemptEnd<Vec<Part>> {
+        let bytes = if request.export & SUMS != 0 { &mut self.sums } else { &mut self.data };
         let range = request.offset as usize..request.offset as usize + request.length as usize;
         let parts = match &request.operation {
-            Operation::Read => vec![Part::Data(request.offset, Bytes::copy_from_slice(&place[range]))],
+            Operation::Read => vec![Part::Data(request.offset, Bytes::copy_from_slice(&bytes[range]))],
             Operation::Write(data) => {
-                place[range].copy_from_slice(data);
+                bytes[range].copy_from_slice(data);
                 Vec::new()
             }
             Operation::Flush => Vec::new(),
@@ -151,7 +153,7 @@
         AttemptEnd { reply: Some(parts), ..AttemptEnd::without_reply(Ending::Served) }
     }
 
-    /// A request of a client, and its answer.
+    /// Sends a client's request and returns the answer.
     fn ask(&mut self, operation: Operation, offset: u64, length: u32) -> Vec<Part> {
         self.now += 50;
         self.next += 1;
@@ -177,14 +179,14 @@
         }
     }
 
-    /// Allocations and attempts for each of so many requests.
+    /// Returns the mean numbers of allocations and of attempts per request.
     fn cost(&mut self, write: bool, length: u32) -> (f64, f64) {
         const REQUESTS: u64 = 256;
         let data = Bytes::from(vec![9; length as usize]);
-        let places = SIZE / u64::from(length);
+        let blocks_in_export = SIZE / u64::from(length);
         let mut ask = |i: u64| {
             let operation = if write { Operation::Write(data.clone()) } else { Operation::Read };
-            self.ask(operation, i % places * u64::from(length), length)
+            self.ask(operation, i % blocks_in_export * u64::from(length), length)
         };
         (0..REQUESTS).for_each(|i| drop(ask(i)));
         let before = dhat::HeapStats::get().total_blocks;
@@ -193,7 +195,7 @@
         let sent = self.sent;
         (0..REQUESTS).for_each(|i| {
             let operation = if write { Operation::Write(data.clone()) } else { Operation::Read };
-            drop(self.ask(operation, i % places * u64::from(length), length));
+            drop(self.ask(operation, i % blocks_in_export * u64::from(length), length));
         });
         (blocks as f64 / REQUESTS as f64, (self.sent - sent) as f64 / REQUESTS as f64)
     }
@@ -203,29 +205,33 @@
 fn checking_copies_no_data_and_costs_a_read_few_allocations() {
     let _profiler = dhat::Profiler::builder().testing().build();
     let guard = |summed| Guard::new(exports(summed), RequestIds::default(), 256, 0);
-    let (mut plain, mut through, mut checked) =
+    let (mut plain, mut intercepted, mut checked) =
         (Broker::new(PassThrough), Broker::new(guard(false)), Broker::new(guard(true)));
-    println!("request           unchecked         with the stage    checked       (allocations, attempts)");
+    println!("request           unchecked         intercepted       checked       (allocations, attempts)");
     for length in [4096, 65_536, 1 << 20] {
         for write in [true, false] {
-            let costs = [plain.cost(write, length), through.cost(write, length), checked.cost(write, length)];
+            let costs =
+                [plain.cost(write, length), intercepted.cost(write, length), checked.cost(write, length)];
             let what = if write { "write" } else { "read" };
             println!("{what:<6} {length:>8}   {:?}   {:?}   {:?}", costs[0], costs[1], costs[2]);
             assert_eq!(costs[0].1, 1.0);
-            assert!(costs[1].0 <= costs[0].0 + 0.1, "an export without sums costs what it did");
+            assert!(
+                costs[1].0 <= costs[0].0 + 0.1,
+                "an export without checksums costs no more than without the interceptor"
+            );
             match write {
                 true => {
                     assert_eq!(costs[2].1, if length > 262_144 { 9.0 } else { 3.0 }, "attempts of a write")
                 }
-                false => assert_eq!(costs[2].1, 1.0, "a read of what is known asks the node once"),
+                false => assert_eq!(costs[2].1, 1.0, "a read of known blocks takes one attempt"),
             }
             assert!(costs[2].0 <= costs[0].0 + if write { 90.0 } else { 15.0 }, "{length}: {costs:?}");
         }
     }
-    // What the node's reply was read into is what the client is written from.
+    // The buffer that the node's reply was read into is the one that the client's answer is written from.
     let before = dhat::HeapStats::get().total_bytes;
     let parts = checked.ask(Operation::Read, 0, 1 << 20);
     let taken = dhat::HeapStats::get().total_bytes - before;
     assert!(matches!(&parts[..], [Part::Data(0, data)] if data.len() == 1 << 20));
-    assert!(taken < (1 << 20) + 64 * 1024, "the node's own copy, and no other: {taken}");
+    assert!(taken < (1 << 20) + 64 * 1024, "only the stand-in node's own copy: {taken}");
 }
