--- a/src/run/front.rs
+++ b/src/run/front.rs
@@ -1,4 +1,5 @@
-//! A front: accepts connections, gives each client a seat and a session, and sweeps their deadlines.
+//! A front accepts the client connections of one protocol, gives each a client slot and a session, and checks the deadlines
+//! of idle connections.
 
 use super::socket_age::SocketAges;
 use crate::interface::Time;
@@ -16,58 +17,58 @@
 use std::time::{Duration, Instant};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Connections that are taken in one turn when the listener is about to close.
-const TURN: usize = 128;
-/// Connections beyond its places that a full front accepts to refuse them.
+/// Connections accepted without yielding to the runtime when the listener is about to close.
+const ACCEPT_BATCH: usize = 128;
+/// Connections beyond the connection limit that a full front accepts in order to refuse their requests.
 pub const MAX_REFUSED: usize = 8;
-/// Connections beyond its places that a full front accepts and lets wait for one.
+/// Connections beyond the connection limit that a full front accepts and keeps waiting for a client slot.
 pub const MAX_WAITING: usize = 1;
-/// How long to wait when descriptors or seats have run out.
+/// Delay before the next attempt when descriptors or client slots have run out.
 const FULL_RETRY: Duration = Duration::from_millis(2);
-/// How often the log says that connections cannot be taken.
-const SAID_AGAIN: Duration = Duration::from_secs(1);
-/// How often the deadlines of clients are swept.
-const SWEEP: Duration = Duration::from_millis(20);
+/// Shortest interval between two log lines about connections that cannot be accepted.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
+/// How often the deadlines of client connections are checked.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A front: where clients of one protocol connect.
+/// The listener for the clients of one protocol, with their sessions.
 pub struct Front<W: Wire> {
-    /// Where they connect.
+    /// The listening socket.
     pub listener: TcpListener,
-    /// What their sessions share.
+    /// State that the sessions share.
     pub context: SessionContext<W>,
-    /// Those that are connected.
+    /// The slots of connected clients.
     pub slots: ClientSlots,
-    /// How many there may be.
+    /// The connection limit.
     pub max_clients: Rc<Cell<usize>>,
-    /// How long a connection may wait for a place, in microseconds, by the settings in force.
+    /// Returns how long a connection may wait for a client slot under the settings in force, in microseconds.
     pub accept_timeout: Box<dyn Fn() -> Time>,
     /// Whether another process may accept on the same socket.
     pub shared: bool,
-    /// How long connections have waited to be accepted.
+    /// Tracks how long connections have waited to be accepted.
     pub accept_queue: Cell<AcceptQueue>,
-    /// What the system tells of that where this process cannot know.
+    /// Asks the kernel how long data has waited, for connections made while this process did not accept.
     pub socket_ages: RefCell<SocketAges>,
-    /// The connection that is accepted and waits for a place.
+    /// The accepted connection that waits for a client slot, if there is one.
     pub waiting: RefCell<Option<Accepted>>,
 }
 
-/// A connection that was accepted.
+/// A connection that was accepted and is not served yet.
 pub struct Accepted {
     stream: TcpStream,
-    /// The earliest moment at which what lies on it may have come.
+    /// The earliest time at which its unread data may have arrived.
     arrived: Time,
 }
 
-/// Sweeps the deadlines of a front's clients for good.
+/// Checks the deadlines of a front's clients periodically until the process ends.
 pub async fn sweep(slots: ClientSlots, clock: Clock) {
     loop {
-        tokio::time::sleep(SWEEP).await;
+        tokio::time::sleep(SWEEP_INTERVAL).await;
         slots.sweep(clock.now());
     }
 }
 
 impl<W: Wire> Front<W> {
-    /// Takes connections for as long as the phase allows.
+    /// Accepts connections as long as the broker's phase allows it.
     pub async fn accept<S: Session<W>>(self, session: impl Fn() -> S) {
         let shared = self.shared;
         let accepts = move |phase: &Phase| {
@@ -82,36 +83,36 @@
             tokio::select! {
                 biased;
                 _ = phase.wait_for(|phase| !accepts(phase)) => {}
-                () = self.take(&session) => {}
+                () = self.accept_all(&session) => {}
             }
             self.serve_waiting(&session, Admission::Served);
-            // Another process that took them in its place may be gone.
+            // This process may have to accept again if the process that accepted in its place has ended.
             let last = match phase.wait_for(|phase| accepts(phase) || phase.is_terminating()).await {
                 Ok(phase) if accepts(&phase) => {
-                    self.note(|queue, now| queue.resume(now));
+                    self.update_queue(|queue, now| queue.resume(now));
                     continue;
                 }
                 Ok(phase) => matches!(*phase, Phase::Closing(..)),
                 Err(_) => return,
             };
             if last {
-                self.take_last(&session).await;
+                self.accept_remaining(&session).await;
             }
             return;
         }
     }
 
-    /// Takes what the kernel has accepted before the listener closes, which would reset it.
-    async fn take_last<S: Session<W>>(&self, session: &impl Fn() -> S) {
-        // What is there is seen only after a look at the sockets.
+    /// Accepts the connections in the kernel's accept queue before the listener closes: closing it would reset them.
+    async fn accept_remaining<S: Session<W>>(&self, session: &impl Fn() -> S) {
+        // The runtime reports waiting connections only after it has polled the sockets.
         tokio::time::sleep(FULL_RETRY).await;
-        self.note(AcceptQueue::mark_waiting);
-        // The system itself is asked: what the runtime knows of the listener may be old.
+        self.update_queue(AcceptQueue::mark_waiting);
+        // A plain system call is used, because the runtime's knowledge of the listener's readiness may be outdated.
         let Ok(listener) = self.listener.as_fd().try_clone_to_owned().map(std::net::TcpListener::from) else {
             return;
         };
         for taken in 1_usize.. {
-            if taken.is_multiple_of(TURN) {
+            if taken.is_multiple_of(ACCEPT_BATCH) {
                 tokio::task::yield_now().await;
                 if self
                     .context
@@ -120,7 +121,7 @@
                     .last_answer_at()
                     .is_some_and(|at| at <= self.context.loop_clock.now())
                 {
-                    // Whoever still comes could not be answered any more.
+                    // A client that connects now could not be answered any more.
                     return;
                 }
             }
@@ -131,31 +132,31 @@
             match accepted {
                 Ok(stream) => self.serve(self.accepted(stream), session, Admission::Served),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                // Descriptors may have run out, or one connection was aborted: the others are still there.
+                // Descriptors may have run out, or one connection was aborted; the others are still in the queue.
                 Err(error) => {
                     tracing::warn!(%error, "cannot accept");
-                    self.make_room().await;
+                    self.evict_idle().await;
                 }
             }
         }
     }
 
-    /// Takes note of what is known of the accept queue from now on.
-    fn note(&self, what: impl FnOnce(&mut AcceptQueue, Time)) {
+    /// Updates the state of the accept queue; `what` gets the earliest time at which the change may have happened.
+    fn update_queue(&self, what: impl FnOnce(&mut AcceptQueue, Time)) {
         let mut queue = self.accept_queue.get();
         what(&mut queue, self.context.loop_clock.earliest_arrival());
         self.accept_queue.set(queue);
     }
 
-    /// Asks those that can be spared to leave, and gives them a moment.
-    async fn make_room(&self) {
+    /// Asks evictable connections to close, and waits a moment for that.
+    async fn evict_idle(&self) {
         let now = self.context.loop_clock.now();
-        let press = self.accept_queue.get().pressure(now);
-        while self.slots.evict_one(now, press) {}
+        let pressure = self.accept_queue.get().pressure(now);
+        while self.slots.evict_one(now, pressure) {}
         tokio::time::sleep(FULL_RETRY).await;
     }
 
-    /// The earliest moment at which what lies on a connection may have come that is accepted now.
+    /// Returns the earliest time at which unread data of a connection that is accepted now may have arrived.
     fn arrival(&self, stream: &TcpStream) -> Time {
         let queue = self.accept_queue.get();
         let known = queue.earliest_arrival(self.context.loop_clock.earliest_arrival());
@@ -177,13 +178,13 @@
         Accepted { stream, arrived }
     }
 
-    /// At a full front: accepts one connection that waits for a place, and asks those that can be spared to leave. Where that has
-    /// not helped for long, those that wait are refused.
-    async fn wait_for_a_place<S: Session<W>>(&self, session: &impl Fn() -> S) {
+    /// Called while the connection limit is reached: accepts one connection, which waits for a client slot, and asks evictable
+    /// connections to close. Once connections have waited longer than the accept timeout, they are refused.
+    async fn wait_for_slot<S: Session<W>>(&self, session: &impl Fn() -> S) {
         self.accept_waiting().await;
-        self.make_room().await;
+        self.evict_idle().await;
         let places = self.max_clients.get()..self.max_clients.get() + MAX_REFUSED;
-        while places.contains(&self.slots.len()) && self.is_too_late() {
+        while places.contains(&self.slots.len()) && self.has_timed_out() {
             self.serve_waiting(session, Admission::Refused);
             if !self.accept_waiting().await {
                 return;
@@ -191,12 +192,12 @@
         }
     }
 
-    /// Whether connections have waited for so long that they are refused rather than wait any more.
-    fn is_too_late(&self) -> bool {
+    /// Whether connections have waited longer than the accept timeout, so that they are refused.
+    fn has_timed_out(&self) -> bool {
         self.accept_queue.get().max_wait(self.context.loop_clock.now()) > (self.accept_timeout)()
     }
 
-    /// Accepts the connection that is to wait for a place; whether there is one.
+    /// Accepts the connection that is to wait for a client slot. Returns whether a connection waits.
     async fn accept_waiting(&self) -> bool {
         if self.waiting.borrow().is_some() {
             return true;
@@ -204,37 +205,37 @@
         match try_accept(&self.listener).await {
             Some(Ok(stream)) => {
                 let next = self.accepted(stream);
-                self.note(AcceptQueue::mark_waiting);
+                self.update_queue(AcceptQueue::mark_waiting);
                 self.waiting.replace(Some(next));
                 true
             }
-            // The next look meets the error again.
+            // The next accept meets the error again and handles it.
             Some(Err(_)) => false,
             None => {
-                self.note(|queue, _| queue.mark_empty());
+                self.update_queue(|queue, _| queue.mark_empty());
                 false
             }
         }
     }
 
-    /// Serves the connection that waits for a place, if there is one.
+    /// Starts the session of the connection that waits for a client slot, if there is one.
     fn serve_waiting<S: Session<W>>(&self, session: &impl Fn() -> S, admission: Admission) {
         if let Some(next) = self.waiting.take() {
             self.serve(next, session, admission);
         }
     }
 
-    /// Takes connections for good. What the kernel has accepted is owed an answer, so a full front asks those
-    /// connections that can be spared to leave, rather than let new ones wait.
-    async fn take<S: Session<W>>(&self, session: &impl Fn() -> S) {
-        let mut said = None;
+    /// Accepts connections until cancelled. Connections in the accept queue expect an answer, so a full front asks evictable
+    /// connections to close rather than let new ones wait.
+    async fn accept_all<S: Session<W>>(&self, session: &impl Fn() -> S) {
+        let mut logged_at = None;
         if self.accept_queue.get().is_unattended() {
-            // What is there is seen only after a look at the sockets.
+            // The runtime reports waiting connections only after it has polled the sockets.
             tokio::time::sleep(FULL_RETRY).await;
         }
         loop {
             while self.slots.len() >= self.max_clients.get() {
-                self.wait_for_a_place(session).await;
+                self.wait_for_slot(session).await;
             }
             if self.waiting.borrow().is_some() {
                 self.serve_waiting(session, Admission::Served);
@@ -243,19 +244,19 @@
             let accepted = match try_accept(&self.listener).await {
                 Some(accepted) => accepted,
                 None => {
-                    self.note(|queue, _| queue.mark_empty());
+                    self.update_queue(|queue, _| queue.mark_empty());
                     self.listener.accept().await.map(|(stream, _)| stream)
                 }
             };
-            self.note(AcceptQueue::mark_waiting);
+            self.update_queue(AcceptQueue::mark_waiting);
             match accepted {
                 Ok(stream) => self.serve(self.accepted(stream), session, Admission::Served),
                 Err(error) => {
-                    if said.is_none_or(|at: Instant| at.elapsed() > SAID_AGAIN) {
-                        said = Some(Instant::now());
+                    if logged_at.is_none_or(|at: Instant| at.elapsed() > LOG_INTERVAL) {
+                        logged_at = Some(Instant::now());
                         tracing::warn!(%error, clients = self.slots.len(), "cannot accept");
                     }
-                    self.make_room().await;
+                    self.evict_idle().await;
                 }
             }
         }
--- a/src/run/limits.rs
+++ b/src/run/limits.rs
@@ -1,33 +1,33 @@
-//! What the deployment lets this process hold, shared out between clients and links.
+//! Divides the descriptors and the memory that the deployment allows this process between clients and links.
 
 use super::front::{MAX_REFUSED, MAX_WAITING};
 
-/// Descriptors kept for the listeners, discovery (twice while it moves), the runtime, the log, signals and the connections that a
-/// full front refuses.
+/// Descriptors reserved for the listeners, discovery (two connections while its address changes), the runtime, the log, signals
+/// and the connections that a full front refuses.
 const RESERVED: usize = 24 + MAX_REFUSED + MAX_WAITING;
-/// Memory that a client connection may take: its read buffer, and its unread answers.
+/// Memory per client connection, in KiB: its read buffer and its unread answers.
 const CLIENT_KB: usize = 96;
-/// Memory that an NBD client may take: its requests, which hold up to 1 MiB each, and their replies.
+/// Memory per NBD client, in KiB: its requests, which hold up to 1 MiB each, and their replies.
 const NBD_CLIENT_KB: usize = 6 * 1024;
 
-/// How many connections of a front and its fleet may be open.
+/// Limits on the connections and the memory of a front and its planner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// Client connections.
     pub clients: usize,
     /// Links to nodes.
     pub links: usize,
-    /// Bytes for requests that are open, replies that are not whole and answers that are not read, beside what
-    /// each connection takes.
+    /// Bytes for open requests, incomplete replies and unread answers, in addition to the memory of each connection.
     pub room: usize,
-    /// Bytes of large replies that wait for their clients.
+    /// Bytes for the windows of streamed replies.
     pub windows: usize,
 }
 
 impl Limits {
-    /// Shares out descriptors and memory: two thirds of the descriptors to clients, the rest to links; half
-    /// the memory to what clients hold, a quarter to their open requests, an eighth to large replies. With the NBD front on, it has a
-    /// quarter of it all, the second of the pair. So many descriptors are set aside for the operators' callers.
+    /// Divides descriptors and memory: two thirds of the descriptors go to clients, the rest to links; half of the memory goes
+    /// to client connections, a quarter to open requests, an eighth to streamed replies. The second of the pair is for the NBD
+    /// front: a quarter of the descriptors and half of that memory if it is enabled. `admin` descriptors are reserved for
+    /// operators' connections.
     pub fn share(descriptors: usize, memory_mb: usize, nbd: bool, admin: usize) -> (Self, Self) {
         let free = descriptors.saturating_sub(RESERVED + admin).max(16);
         let kb = memory_mb * 1024 / 2;
@@ -60,10 +60,7 @@
             let room = resp.room + if nbd { disk.room } else { 0 };
             assert!(kb <= mb * 1024 / 2 && room <= mb * 1024 * 1024 / 4, "{resp:?} {disk:?}");
             assert!(resp.windows <= mb * 1024 * 1024 / 8, "{resp:?}");
-            assert!(
-                resp.clients * 2 > files * 3 / 4 || nbd,
-                "twice what clients hold for requests: {resp:?}"
-            );
+            assert!(resp.clients * 2 > files * 3 / 4 || nbd, "too few client connections: {resp:?}");
         }
         assert!(Limits::share(30, 8, false, 0).0.clients >= 4);
     }
--- a/src/run/listen.rs
+++ b/src/run/listen.rs
@@ -1,4 +1,4 @@
-//! Listening sockets: how they are made or taken over, and how many connections the kernel may hold for them.
+//! Listening sockets: creating or adopting them, and the length of their accept queues.
 
 use super::error::{io, StartError};
 use socket2::SockRef;
@@ -6,15 +6,15 @@
 use std::time::{Duration, Instant};
 use tokio::net::{TcpListener, TcpSocket};
 
-/// Connections that the kernel may hold until they are accepted: as many as the system allows, which cuts this down to
-/// `net.core.somaxconn`. Where this queue is full the kernel drops handshakes, and clients wait a second for the next try.
+/// Requested length of the accept queue: the maximum, which the kernel limits to `net.core.somaxconn`. When the queue is full,
+/// the kernel drops handshakes, and clients wait one second before they try again.
 const ACCEPT_QUEUE: i32 = i32::MAX;
-/// How long an address that another process holds is waited for: longer than one may take to end.
-const ADDRESS_TAKEN: Duration = Duration::from_secs(4);
-/// How often it is asked for.
-const ADDRESS_AGAIN: Duration = Duration::from_millis(20);
+/// How long binding is retried while another process holds the address; longer than a process may take to end.
+const BIND_TIMEOUT: Duration = Duration::from_secs(4);
+/// Interval of these retries.
+const BIND_RETRY: Duration = Duration::from_millis(20);
 
-/// Listens on an address.
+/// Opens a listening socket on an address.
 pub fn listen(address: &str) -> Result<TcpListener, StartError> {
     let bind = || -> std::io::Result<TcpListener> {
         let address: std::net::SocketAddr = address.parse().map_err(std::io::Error::other)?;
@@ -26,27 +26,27 @@
     bind().map_err(io(format!("listening on {address}")))
 }
 
-/// The same where the process before this one may still be about to end and to let go of the address.
+/// Opens a listening socket like [`listen`], but retries while the previous process may still hold the address.
 pub async fn listen_soon(address: &str) -> Result<TcpListener, StartError> {
-    let until = Instant::now() + ADDRESS_TAKEN;
+    let until = Instant::now() + BIND_TIMEOUT;
     loop {
         match listen(address) {
             Err(StartError::Io { what, error })
                 if error.kind() == ErrorKind::AddrInUse && Instant::now() < until =>
             {
                 tracing::warn!(what, %error, "tried again");
-                tokio::time::sleep(ADDRESS_AGAIN).await;
+                tokio::time::sleep(BIND_RETRY).await;
             }
             listener => return listener,
         }
     }
 }
 
-/// Takes over a listening socket that somebody else has made. Its accept queue is as long as that one chose, or there is none
-/// yet, so it is told to listen again.
+/// Adopts a listening socket that another program created. Calls `listen` again, because the socket may have a shorter accept
+/// queue or may not listen yet.
 pub fn adopt(passed: std::net::TcpListener) -> Result<TcpListener, StartError> {
     if let Err(error) = SockRef::from(&passed).listen(ACCEPT_QUEUE) {
-        tracing::warn!(%error, "the accept queue of the inherited socket stays as it is");
+        tracing::warn!(%error, "cannot change the accept queue of the inherited socket");
     }
     TcpListener::from_std(passed).map_err(io("the inherited socket"))
 }
--- a/src/run/planner_driver.rs
+++ b/src/run/planner_driver.rs
@@ -1,4 +1,5 @@
-//! Drives a planner: waits for what happens, gives it its turns, and carries out what it wants on sockets.
+//! Drives a planner: waits for inputs and deadlines, runs the planner's turns, and carries out the resulting effects on
+//! sockets.
 
 use crate::interface::{Ending, Time};
 use crate::state::buffer_budget::BufferBudget;
@@ -14,69 +15,69 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::sync::oneshot;
 
-/// Most inputs of one turn: what more has come waits for the next, behind whatever else is due.
-const MOST_INPUTS: usize = 256;
-/// A turn that takes longer than this is worth a line in the log, with what it had to do.
-const LONG_TURN: Time = 20_000;
-/// Lateness below this is that of timers and of a machine with other work.
-const ON_TIME: Time = 10_000;
-/// How often the log says what has been done.
-const REPORT: Time = 10_000_000;
+/// Largest number of inputs of one turn. Further inputs wait for the next turn, behind other tasks that are ready.
+const MAX_INPUTS: usize = 256;
+/// Turns that take longer than this are logged with the work they did, in microseconds.
+const LOGGED_TURN: Time = 20_000;
+/// Lateness up to this comes from timers and from other work on the machine, in microseconds.
+const MAX_TIMER_LATENESS: Time = 10_000;
+/// Interval of the statistics line in the log, in microseconds.
+const REPORT_INTERVAL: Time = 10_000_000;
 
-/// A planner with its sockets.
+/// A planner with the connections to its nodes.
 pub struct PlannerDriver<W: Wire, G> {
-    /// What it is called in the log.
+    /// Name of the planner in the log.
     pub name: &'static str,
     /// The planner.
     pub planner: Planner<W>,
-    /// What stands before the planner.
+    /// The interceptor through which all inputs pass before they reach the planner.
     pub interceptor: G,
-    /// What happens.
+    /// Inputs for the planner.
     pub inputs: UnboundedReceiver<Input<W>>,
-    /// Comes when all clients are gone; told when the interceptor has come to its end, too.
+    /// Receives a sender once all clients are gone; it is notified when the interceptor has stopped as well.
     pub shutdown_requests: UnboundedReceiver<oneshot::Sender<()>>,
-    /// Where links report to.
+    /// Sender through which links report to the planner.
     pub input_sender: UnboundedSender<Input<W>>,
-    /// The time, and how late this process runs.
+    /// The event loop's clock and scheduling lag.
     pub loop_clock: LoopClock,
-    /// How long a link's connection may take to come up.
+    /// Connect timeout of a link.
     pub connect_timeout: Rc<Cell<Duration>>,
-    /// Room for replies that are not whole yet.
+    /// Memory budget for incomplete replies.
     pub reply_budget: BufferBudget,
-    /// Until when what may be written to nodes.
+    /// Until when requests may be written to nodes.
     pub permit: Permit,
 }
 
 impl<W: Wire, G: Interceptor<W>> PlannerDriver<W, G> {
-    /// Turns until the process ends; `exchange` makes the protocol of a new link on a lane.
+    /// Runs turns until the process ends. `exchange` creates the protocol state of a new link of a channel kind.
     pub async fn run<X: Exchange<W>>(mut self, exchange: impl Fn(ChannelKind) -> X) {
         let mut links: HashMap<LinkId, UnboundedSender<LinkCommand<W>>> = HashMap::new();
         let (mut inputs, mut taken, mut effects) = (Vec::new(), Vec::new(), Vec::new());
         let mut ended: Option<oneshot::Sender<()>> = None;
-        let (mut report_at, mut was_late) = (self.loop_clock.now() + REPORT, false);
+        let (mut report_at, mut was_late) = (self.loop_clock.now() + REPORT_INTERVAL, false);
         loop {
             let wakes = [self.planner.next_deadline(), self.interceptor.next_deadline(), Some(report_at)];
             let wake = wakes.into_iter().flatten().min().unwrap_or(report_at);
             tokio::select! {
-                n = self.inputs.recv_many(&mut inputs, MOST_INPUTS) => if n == 0 { return },
-                Some(told) = self.shutdown_requests.recv() => {
-                    ended = Some(told);
+                n = self.inputs.recv_many(&mut inputs, MAX_INPUTS) => if n == 0 { return },
+                Some(done) = self.shutdown_requests.recv() => {
+                    ended = Some(done);
                     self.interceptor.stop(self.loop_clock.now(), &mut taken);
                 }
                 () = tokio::time::sleep_until(self.loop_clock.clock().instant(wake).into()) => {}
             }
-            // What is due is measured by what lies in the sockets, too: an answer that is there has come in time.
+            // Data in the sockets is read before deadlines are checked: an answer that has already arrived is in time.
             let late = self.loop_clock.lag().max(self.loop_clock.now() - wake);
             self.loop_clock.catch_up().await;
-            let room = MOST_INPUTS - inputs.len();
-            inputs.extend((0..room).map_while(|_| self.inputs.try_recv().ok()));
+            let capacity = MAX_INPUTS - inputs.len();
+            inputs.extend((0..capacity).map_while(|_| self.inputs.try_recv().ok()));
             let now = self.loop_clock.now();
-            // One that is late once was held up from outside, and has read what came meanwhile. One that stays late has too
-            // much to do.
-            if late > ON_TIME && was_late {
+            // A single late turn was caused from outside, and the data that arrived meanwhile has been read. A process that is
+            // late in two consecutive turns is overloaded.
+            if late > MAX_TIMER_LATENESS && was_late {
                 taken.push(Input::HostLateness(late));
             }
-            was_late = late > ON_TIME;
+            was_late = late > MAX_TIMER_LATENESS;
             self.planner.note_lateness(self.loop_clock.recent_lag());
             let (count, work) = (inputs.len(), self.planner.work());
             for input in inputs.drain(..) {
@@ -86,8 +87,8 @@
                 self.interceptor.take(now, input, &mut taken);
             }
             self.interceptor.sweep(now, self.planner.open_by_shard(), &mut taken);
-            // What the planner answers can make the interceptor ask again. Each round takes a request further, and
-            // a request has few steps that end without a word from a node.
+            // Answers of the planner can make the interceptor send further requests. The loop ends: each round advances a
+            // request by a step, and a request has few steps that complete without a reply from a node.
             loop {
                 self.planner.turn(now, taken.drain(..), &mut effects);
                 self.interceptor.collect_answers(now, &mut taken);
@@ -119,7 +120,7 @@
                         let command = LinkCommand::Send(tag, span, request);
                         let sent = links.get(&link).is_some_and(|sender| sender.send(command).is_ok());
                         if !sent {
-                            // The link has ended, and says so in the next turn; this was never written.
+                            // The link has ended and reports it in the next turn; this request was never written.
                             let end = AttemptEnd::without_reply(Ending::Unreachable);
                             let _ = self.input_sender.send(Input::AttemptEnded(link, tag, end));
                         }
@@ -128,13 +129,13 @@
                         let _ = links.get(&link).map(|sender| sender.send(LinkCommand::Withdraw(tag)));
                     }
                     Effect::Bar(link) => {
-                        // A link that has ended says so by itself.
+                        // A link that has ended reports it itself.
                         let _ = links.get(&link).map(|sender| sender.send(LinkCommand::StopSending));
                     }
                     Effect::Close(link) => {
                         links.remove(&link);
                     }
-                    // The scheduler of today asks for none; a node that was not probed proves nothing.
+                    // The current scheduler requests no probes; an unsent probe says nothing about the node.
                     Effect::Probe(node, _) => {
                         let _ = self.input_sender.send(Input::Probed(node, Ending::NotSent, None));
                     }
@@ -142,23 +143,23 @@
             }
             self.loop_clock.record_blocking("a turn of the scheduler", now);
             let took = self.loop_clock.now() - now;
-            if took > LONG_TURN || late > LONG_TURN * 5 {
+            if took > LOGGED_TURN || late > LOGGED_TURN * 5 {
                 let (requests, attempts, _) = self.planner.load();
                 let (work, waiting) = (self.planner.work() - work, self.planner.waiting());
                 let (late_ms, took_ms) = (late / 1000, took / 1000);
                 tracing::warn!(late_ms, took_ms, count, work, requests, waiting, attempts, "late turn");
             }
-            if count == MOST_INPUTS {
+            if count == MAX_INPUTS {
                 tokio::task::yield_now().await;
             }
             if self.interceptor.is_stopped() {
-                if let Some(told) = ended.take() {
-                    // Whoever has stopped waiting need not be told.
-                    let _ = told.send(());
+                if let Some(done) = ended.take() {
+                    // The receiver may have stopped waiting.
+                    let _ = done.send(());
                 }
             }
             if now >= report_at {
-                report_at = now + REPORT;
+                report_at = now + REPORT_INTERVAL;
                 self.report();
             }
         }
--- a/src/run/reload.rs
+++ b/src/run/reload.rs
@@ -1,4 +1,4 @@
-//! Takes the configuration anew at each SIGHUP, whole or not at all.
+//! Reloads the configuration at each SIGHUP, completely or not at all.
 
 use super::active_settings::ActiveSettings;
 use super::config::{reread, Reread};
@@ -21,50 +21,50 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::watch;
 
-/// How often it is looked whether classes that were dropped are still open.
-const RETIRING: Duration = Duration::from_millis(500);
+/// How often the reloader checks whether removed classes still have open requests.
+const RETIRE_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What is changed by a new configuration.
+/// The parts of the broker that a new configuration changes.
 pub struct ConfigReloader {
-    /// The file.
+    /// Path of the configuration file.
     pub path: String,
-    /// The settings in force as they stand in their file.
+    /// The settings in force, as JSON.
     pub text: Value,
-    /// The settings in force, and what is still open under older ones.
+    /// The settings in force, and classes that still have open requests under older settings.
     pub active: ActiveSettings,
-    /// What sessions share.
+    /// State that the client sessions share.
     pub common: Rc<SharedState>,
     /// The planner.
     pub planner: UnboundedSender<Input<Resp>>,
     /// Names of the zones.
     pub zones: Rc<RefCell<Vec<String>>>,
-    /// How long a link's connection may take to come up.
+    /// Connect timeout of a link.
     pub connect_timeout: Rc<Cell<Duration>>,
-    /// Discovery's address.
+    /// Address of the discovery service.
     pub discovery: watch::Sender<String>,
-    /// What the settings say of lists.
+    /// The settings for node lists.
     pub lists: Rc<Cell<Terms>>,
     /// The longest deadline of the settings in force.
     pub deadlines: Rc<Cell<Time>>,
-    /// The broker's phase: one that is told to stop may be ended earlier than its old settings said.
+    /// The broker's phase. A reload may shorten the shutdown of a broker that is stopping.
     pub phase: Rc<watch::Sender<Phase>>,
     /// The time.
     pub clock: Clock,
 }
 
-/// The longest deadline of settings, in microseconds.
+/// Returns the longest class deadline of the settings, in microseconds.
 pub fn longest(start: &Start) -> Time {
     start.deadlines.iter().copied().max().unwrap_or(0)
 }
 
 impl ConfigReloader {
-    /// Reads at each SIGHUP. A file that cannot be used changes nothing.
+    /// Reloads the file at each SIGHUP. An invalid file changes nothing.
     pub async fn run(mut self, mut hangup: Signal) {
         let (mut links, mut in_use) = (None, self.active.classes_in_use());
         loop {
             tokio::select! {
-                hung = hangup.recv() => {
-                    if hung.is_none() {
+                received = hangup.recv() => {
+                    if received.is_none() {
                         return;
                     }
                     let taken = self.read().await;
@@ -73,29 +73,29 @@
                         Err(error) => tracing::error!(error, "configuration not taken"),
                     }
                 }
-                () = tokio::time::sleep(RETIRING), if links.is_some() && in_use != self.live() => {}
+                () = tokio::time::sleep(RETIRE_POLL_INTERVAL), if links.is_some() && in_use != self.class_count() => {}
             }
-            // The last request of a class that was dropped may have had its answer.
+            // The last request of a removed class may have been answered.
             if let Some(links) = links.filter(|_| in_use != self.active.classes_in_use()) {
                 in_use = self.active.classes_in_use();
-                self.tell(links);
+                self.send_settings(links);
             }
         }
     }
 
-    /// Reads the file on another thread: the folder may be slow, and answers are owed meanwhile.
+    /// Reads the file on another thread, so that a slow file system does not delay answers.
     async fn read(&self) -> Result<Reread, String> {
         let (path, text) = (self.path.clone(), self.text.clone());
         let read = run_blocking(move || reread(&path, &text)).await;
-        read.ok_or("the file was not read")?.map_err(|error| error.to_string())
+        read.ok_or("the configuration file was not read")?.map_err(|error| error.to_string())
     }
 
-    /// Classes that clients may name.
-    fn live(&self) -> usize {
+    /// Returns the number of classes that clients may name.
+    fn class_count(&self) -> usize {
         self.common.schema.borrow().classes.len()
     }
 
-    /// Takes what was read whole, all at once.
+    /// Puts a configuration that was read completely into force.
     fn take(&mut self, new: Reread) -> Result<LinkSettings, String> {
         let (bounds, lists, deadlines) = (new.start.bounds, new.start.lists, longest(&new.start));
         let terms = self.active.take(new.start)?;
@@ -109,8 +109,8 @@
             let _ = self.planner.send(Input::AnswerAllBy(by));
         }
         self.text = new.text;
-        self.tell(bounds.links());
-        let classes = self.live();
+        self.send_settings(bounds.links());
+        let classes = self.class_count();
         let discovery = new.discovery.unwrap_or_else(|| self.discovery.borrow().clone());
         tracing::info!(
             discovery,
@@ -122,8 +122,8 @@
         Ok(bounds.links())
     }
 
-    /// Tells the scheduler. What clients asked before is on its way to it before this.
-    fn tell(&self, links: LinkSettings) {
+    /// Sends the settings to the scheduler. Requests that clients sent before are queued ahead of them.
+    fn send_settings(&self, links: LinkSettings) {
         if let Some(settings) = self.active.settings() {
             let _ = self.planner.send(Input::Settings(Box::new(settings), links));
         }
--- a/src/run/socket_age.rs
+++ b/src/run/socket_age.rs
@@ -1,5 +1,5 @@
-//! How long the data on a connection has waited, by the kernel's own count. It is asked only of connections that were made while
-//! nobody accepted: no clock of this process saw them come.
+//! Asks the kernel through netlink `sock_diag` how long the data on a connection has waited. This is used only for connections
+//! that were made while no process accepted, whose arrival this process could not observe.
 
 use crate::wire::sock_diag::{decode, encode, MAX_REPLY_BYTES, NETLINK_SOCK_DIAG};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -7,39 +7,41 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// How many times a question is put that fails for a moment.
+/// Attempts for a query that fails with a transient error.
 const TRIES: usize = 3;
 
-/// A socket on which the kernel answers; opened with the first question.
+/// Queries the age of received data; the netlink socket is opened with the first query.
 #[derive(Debug, Default)]
 pub struct SocketAges {
     socket: Option<Socket>,
     sequence: u32,
-    /// This system does not answer.
+    /// Whether this system does not support the query.
     unavailable: bool,
 }
 
 impl SocketAges {
-    /// How long ago the last data came in on a connection; nothing where the system does not tell.
+    /// Returns how long ago the last data arrived on a connection, or `None` if the system does not report it.
     pub fn since_data(&mut self, stream: &TcpStream) -> Option<Duration> {
         for _ in 0..TRIES {
             if self.unavailable {
                 return None;
             }
-            match self.ask(stream) {
+            match self.query(stream) {
                 Ok(age) => return age,
-                Err(error) if is_refused(&error) => {
-                    tracing::info!(%error, "the system does not tell how long requests have waited");
+                Err(error) if is_unsupported(&error) => {
+                    tracing::info!(%error, "the kernel does not report how long requests have waited");
                     self.unavailable = true;
                 }
-                Err(error) => tracing::debug!(%error, "asked again how long a request has waited"),
+                Err(error) => {
+                    tracing::debug!(%error, "query for the waiting time of a request failed; retrying")
+                }
             }
         }
         None
     }
 
-    fn ask(&mut self, stream: &TcpStream) -> Result<Option<Duration>> {
-        // One that was reset meanwhile has no other end.
+    fn query(&mut self, stream: &TcpStream) -> Result<Option<Duration>> {
+        // A connection that was reset meanwhile has no peer address.
         let (Ok(local), Ok(remote)) = (stream.local_addr(), stream.peer_addr()) else { return Ok(None) };
         let mut socket = match self.socket.take() {
             Some(socket) => socket,
@@ -47,7 +49,7 @@
         };
         self.sequence = self.sequence.wrapping_add(1);
         socket.write_all(&encode(self.sequence, local, remote))?;
-        // The kernel has answered when the question is written.
+        // The kernel answers synchronously: the reply is available once the query is written.
         let mut text = [0; MAX_REPLY_BYTES];
         let length = socket.read(&mut text)?;
         self.socket = Some(socket);
@@ -55,8 +57,8 @@
     }
 }
 
-/// Whether an error says that this system never answers, not just now.
-fn is_refused(error: &Error) -> bool {
+/// Whether an error shows that this system does not support the query, as opposed to a transient failure.
+fn is_unsupported(error: &Error) -> bool {
     let refusals = [
         libc::EAFNOSUPPORT,
         libc::EPROTONOSUPPORT,
--- a/src/run/stop.rs
+++ b/src/run/stop.rs
@@ -1,4 +1,4 @@
-//! The end of a broker that was told to stop: what it has taken is answered before it may be killed.
+//! Graceful shutdown: accepted requests are answered before the process may be killed.
 
 use super::folder::{self, run_blocking};
 use super::nbd;
@@ -18,62 +18,63 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// How long new connections are taken after the signal to stop, in microseconds.
+/// How long new connections are accepted after the stop signal, in microseconds.
 const STILL_ACCEPTING: Time = 500_000;
-/// How long the folder may take to say whether another process follows, before this one goes on as if none did. If it says so
-/// later, it is heeded then.
-const FOLLOWED: Duration = Duration::from_millis(100);
-/// How long the last answers may take: longer than any client waits.
-const LAST_ANSWERS: Duration = Duration::from_secs(60);
-/// How long it is tried to take this process out of the hand-over file.
-const LEAVES: Duration = Duration::from_millis(150);
-/// How often it is looked whether all clients are gone.
-const LOOK: Duration = Duration::from_millis(5);
+/// How long reading the hand-over file may take. After that the shutdown continues as if no successor process existed; if one
+/// is found later, the phase changes then.
+const SUCCESSOR_CHECK_TIMEOUT: Duration = Duration::from_millis(100);
+/// How long the last answers may take; longer than any client waits.
+const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long removing this process from the hand-over file may take.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(150);
+/// How often the shutdown checks whether all clients are gone.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What takes part in the end.
+/// The parts of the broker that take part in the shutdown.
 pub struct Shutdown {
     /// The planner.
     pub planner: UnboundedSender<Input<Resp>>,
-    /// Whether any rule was broken.
+    /// Counts violations of the request rules, for the last log line.
     pub guard: Guard,
     /// The broker's phase.
     pub phase: Rc<watch::Sender<Phase>>,
-    /// The time, and how late this process runs.
+    /// The event loop's clock and scheduling lag.
     pub loop_clock: LoopClock,
-    /// The clients.
+    /// The slots of connected clients.
     pub slots: ClientSlots,
     /// The NBD front, if there is one.
     pub nbd: Option<nbd::Running>,
-    /// The task that takes new connections.
+    /// The task that accepts new connections.
     pub accepting: JoinHandle<()>,
     /// The longest deadline of the settings in force.
     pub deadlines: Rc<Cell<Time>>,
-    /// The hand-over file and the number of this process, if there is a place for it.
+    /// The hand-over file and the id of this process, if a folder is configured for it.
     pub hand_over: Option<(PathBuf, u64)>,
 }
 
 impl Shutdown {
-    /// Runs from the signal until everything is answered.
+    /// Runs the shutdown from the stop signal until all requests are answered.
     pub async fn run(self) {
-        // The signal may have come at the beginning of a stall: the kill counts from then.
-        let told = self.loop_clock.earliest_arrival();
+        // If the process stalled, the signal may have arrived at the beginning of the stall, and the kill timeout counts from
+        // then.
+        let signalled_at = self.loop_clock.earliest_arrival();
         tracing::info!(clients = self.slots.len(), "stopping");
-        self.begin(told).await;
-        self.loop_clock.sleep_until(told + STILL_ACCEPTING).await;
-        // One that hands over reads on for longer, whenever it learns that it does.
+        self.begin(signalled_at).await;
+        self.loop_clock.sleep_until(signalled_at + STILL_ACCEPTING).await;
+        // A process that hands over to a successor keeps reading for longer, also if it learns of the successor late.
         if matches!(*self.phase.borrow(), Phase::HandingOver(..)) {
-            self.loop_clock.sleep_until(told + last_read(self.grace())).await;
+            self.loop_clock.sleep_until(signalled_at + last_read(self.grace())).await;
         }
         self.step(Transition::Close, self.loop_clock.now());
         let empty = || self.slots.is_empty() && self.nbd.as_ref().is_none_or(|n| n.slots.is_empty());
         let emptied = async {
-            // What the kernel had accepted takes its seats first. A task that is gone takes none.
+            // Connections in the accept queue get their client slots first. An accept task that has ended adds none.
             let _ = self.accepting.await;
             while !empty() {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        match tokio::time::timeout(LAST_ANSWERS, emptied).await {
+        match tokio::time::timeout(LAST_ANSWERS_TIMEOUT, emptied).await {
             Ok(()) => {
                 if let Some(nbd) = &self.nbd {
                     nbd.close().await;
@@ -84,8 +85,11 @@
         }
         if let Some((path, id)) = self.hand_over {
             let left = run_blocking(move || folder::leave(&path, id));
-            if tokio::time::timeout(LEAVES, left).await.is_err() {
-                tracing::warn!("still in the hand-over file: the folder is slow");
+            if tokio::time::timeout(LEAVE_TIMEOUT, left).await.is_err() {
+                tracing::warn!(
+                    "not removed from the hand-over file within {} ms: the folder is slow",
+                    LEAVE_TIMEOUT.as_millis()
+                );
             }
         }
     }
@@ -98,30 +102,32 @@
         step_phase(&self.phase, what, at);
     }
 
-    /// Moves the phase. The signal comes as soon as the next process answers, which may be before its word is read here, so
-    /// the folder is asked first; it may be slow.
-    async fn begin(&self, told: Time) {
+    /// Changes the phase to stopping. The stop signal is sent as soon as a successor process answers, which may be before this
+    /// process has read the successor's entry, so the hand-over file is read first; its folder may be slow.
+    async fn begin(&self, signalled_at: Time) {
         if let Some((path, id)) = self.hand_over.clone() {
-            let mut asked = Box::pin(run_blocking(move || folder::is_followed(&path, id)));
-            match tokio::time::timeout(FOLLOWED, &mut asked).await {
-                Ok(followed) => {
-                    if followed == Some(true) {
-                        self.step(Transition::Yield(true), told);
+            let mut check = Box::pin(run_blocking(move || folder::is_followed(&path, id)));
+            match tokio::time::timeout(SUCCESSOR_CHECK_TIMEOUT, &mut check).await {
+                Ok(has_successor) => {
+                    if has_successor == Some(true) {
+                        self.step(Transition::Yield(true), signalled_at);
                     }
                 }
                 Err(_) => {
-                    tracing::warn!("the folder is slow: nobody is known to follow");
+                    tracing::warn!(
+                        "hand-over file not read in time: continuing as without a successor process"
+                    );
                     let phase = self.phase.clone();
                     tokio::task::spawn_local(async move {
-                        if asked.await == Some(true) {
-                            step_phase(&phase, Transition::Yield(true), told);
+                        if check.await == Some(true) {
+                            step_phase(&phase, Transition::Yield(true), signalled_at);
                         }
                     });
                 }
             }
         }
-        self.step(Transition::Stop(self.grace()), told);
-        // Whatever was taken before under a longer deadline has its answer by then, too.
+        self.step(Transition::Stop(self.grace()), signalled_at);
+        // Requests that were accepted under a longer deadline are answered by then, too.
         if let Some(by) = self.phase.borrow().last_answer_at() {
             let _ = self.planner.send(Input::AnswerAllBy(by));
             if let Some(nbd) = &self.nbd {
@@ -132,6 +138,6 @@
 }
 
 fn step_phase(phase: &watch::Sender<Phase>, what: Transition, at: Time) {
-    // From stopping there is no way back, and none is asked for here.
+    // A transition fails only if it would leave the stopping phases, which is not requested here.
     let _ = change_phase(phase, what, at);
 }
