--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,26 +1,26 @@
-//! The types that go in and out of the scheduler. Data only: every decision is in [`crate::rules`].
+//! Input and output types of the scheduler. They hold data only; the decisions are made in [`crate::rules`].
 
-/// A point in time or a length of time, in microseconds of one clock that only advances.
+/// A point in time or a duration, in microseconds of a monotonic clock.
 pub type Time = i64;
-/// Number of a request, never used twice in one life of a scheduler.
+/// Identifies a request. A scheduler never sees the same identifier twice.
 pub type RequestId = u64;
-/// Number of a storage node. A replacement machine has a new one.
+/// Identifies a storage node. A replacement machine gets a new identifier.
 pub type NodeId = u32;
-/// Number of a shard: the part of the data that one node holds.
+/// Identifies a shard: the part of the data that one node holds.
 pub type ShardId = u32;
 
-/// Whether a request may run more than once.
+/// Whether a node may execute a request more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// Running it again does no harm.
+    /// The request is idempotent and may run any number of times.
     Safe,
-    /// A group of nodes drops its repeats for the class's window.
+    /// The nodes of the group recognise repeats of the request and drop them for [`Class::window`].
     Keyed(Group),
-    /// It must not run twice.
+    /// The request must not run twice.
     Unsafe,
 }
 
-/// Which nodes know each other's keyed requests.
+/// Which nodes recognise a keyed request that one of them has already received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Group {
     /// All nodes.
@@ -31,119 +31,120 @@
     Shard,
 }
 
-/// A class of requests.
+/// A class of requests, with its latency target and retry rules.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
+    /// Latency target: an answer within this time earns the full value.
     pub aim: Time,
-    /// Worth of a request of mean size.
+    /// Value of a request of mean size that is answered within the aim.
     pub value: f64,
-    /// Part of the worth that an answer after the aim still earns.
+    /// Fraction of the value that an answer after the aim still earns.
     pub late_value: f64,
-    /// Whether it may run again.
+    /// Whether a request of this class may run more than once.
     pub effect: Effect,
-    /// How long a group drops repeats, from the send of the first attempt that may have run.
+    /// How long a group drops repeats of a keyed request, counted from the send of the first attempt that
+    /// may have run.
     pub window: Time,
-    /// Requests with one key run one at a time, in the order they were taken.
+    /// Whether requests with the same key run one at a time, in order of arrival.
     pub ordered: bool,
-    /// Most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub attempts: u32,
 }
 
-/// A plan that volumes stand on. Its rates hold for each volume over all hosts and nodes.
+/// The service plan of a volume. Its rates apply to each volume of the plan, summed over all hosts and nodes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// Units a second that such a volume is sized for.
+    /// Units per second that a volume of this plan is sized for.
     pub rate: f64,
-    /// Units a second that earn their full worth.
+    /// Units per second that earn their full value.
     pub reserve: f64,
-    /// Weight in what nodes can do beyond the reserves.
+    /// Weight of a volume when the node capacity beyond the reserves is divided into shares.
     pub weight: f64,
-    /// Factor on the worth.
+    /// Factor by which the value of a request is multiplied.
     pub price: f64,
-    /// The limit, where there is one.
+    /// Rate limit of each volume, if the plan has one.
     pub limit: Option<Limit>,
 }
 
-/// The most that may be sent for a volume by all hosts together.
+/// Token bucket that limits what all hosts together may send for one volume.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limit {
-    /// Units a second that its store gains.
+    /// Refill rate of the bucket in units per second.
     pub rate: f64,
-    /// Units that the store holds at most; full at first.
+    /// Capacity of the bucket in units; the bucket starts full.
     pub burst: f64,
-    /// Units that it may go below zero.
+    /// Units by which the bucket may go below zero.
     pub slack: f64,
 }
 
-/// A sliding limit on attempts beyond the first of each request.
+/// Retry budget: limits the attempts beyond the first of each request within a sliding window.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Budget {
-    /// Attempts allowed in any window whatever the traffic.
+    /// Retries allowed in any window, regardless of the traffic.
     pub free: f64,
-    /// Further attempts for each request taken in the window.
+    /// Additional retries allowed per request that arrived in the window.
     pub share: f64,
     /// Length of the window.
     pub span: Time,
 }
 
-/// What a scheduler is told once, at its start.
+/// Configuration of a scheduler.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Settings {
     /// Number of hosts that run a scheduler, this one included.
     pub hosts: u32,
-    /// This host's own number among them, from 0. All that divide something by turns must have different
-    /// ones.
+    /// Index of this host among all hosts, from 0. Hosts take turns by their index, so no two may have the
+    /// same.
     pub number: u32,
-    /// The classes; requests name them by place.
+    /// The classes; requests refer to them by index.
     pub classes: Vec<Class>,
-    /// The plans; requests name them by place.
+    /// The plans; requests refer to them by index.
     pub plans: Vec<Plan>,
-    /// Mean units of a request.
+    /// Mean size of a request in units.
     pub mean_units: f64,
-    /// Most units of one request.
+    /// Maximum size of a request in units.
     pub max_units: f64,
-    /// Part of the worth of units beyond the reserve and inside the volume's share.
+    /// Fraction of the value that units beyond the reserve and within the volume's share earn.
     pub share_value: f64,
-    /// Part of the worth of units beyond reserve and share.
+    /// Fraction of the value that units beyond both reserve and share (spare units) earn.
     pub spare_value: f64,
-    /// Period over which [`Outcome::volume_use`] is totalled; 0 without a meter.
+    /// Period over which the nodes total [`Outcome::volume_use`]; 0 if they do not meter it.
     pub meter_period: Time,
-    /// Whether answers carry [`Outcome::served_elsewhere`].
+    /// Whether answers of nodes carry [`Outcome::served_elsewhere`].
     pub reports_elsewhere: bool,
-    /// The list of nodes comes only to those that ask.
+    /// Whether changes of the node list are only delivered after [`Action::Subscribe`].
     pub list_on_request: bool,
-    /// Two attempts of one request may be out at once.
+    /// Whether two attempts of one request may be in flight at once.
     pub concurrent_attempts: bool,
-    /// Attempts may be withdrawn.
+    /// Whether attempts in flight may be cancelled.
     pub cancel: bool,
-    /// Probes are allowed.
+    /// Whether nodes may be probed.
     pub probes: bool,
-    /// Longest retry-after that clients honour; 0 where they are given none.
+    /// Longest retry-after time that clients honour; 0 if clients are given none.
     pub max_retry_after: Time,
-    /// Units that a node just started bears from all hosts together within `cold_window`.
+    /// Units that a node that has just started can take from all hosts together within `cold_window`.
     pub cold_units: f64,
-    /// Part of its capacity that a node starts with at least.
+    /// Minimum fraction of its capacity that a node has when it starts.
     pub cold_fraction: f64,
-    /// Time within which a started node is warm.
+    /// Time after its start at which a node has reached its full capacity.
     pub warmup_time: Time,
-    /// Time over which too much work makes a cold node fall over.
+    /// Window over which the load of a cold node is limited: too much work within it overloads the node.
     pub cold_window: Time,
-    /// Rest of an ordered key after an attempt that may still be running.
+    /// Pause before the next request of an ordered key after an attempt that may still be running.
     pub key_cooldown: Time,
-    /// The budget of further attempts, where one is stated.
+    /// The retry budget, if there is one.
     pub budget: Option<Budget>,
 }
 
 impl Settings {
-    /// Whether a scheduler can work with them.
+    /// Returns an error that names the first setting with which a scheduler cannot work.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let bad_limit = |p: &Plan| p.limit.is_some_and(|l| !(l.rate > 0.0 && l.burst >= 0.0));
         let checks = [
             (self.hosts == 0, "hosts must not be 0"),
             (self.classes.is_empty() || self.plans.is_empty(), "classes and plans must not be empty"),
-            (!(self.mean_units > 0.0 && self.max_units > 0.0), "units of a request must be above 0"),
-            (self.classes.iter().any(|c| c.attempts == 0), "one attempt must be allowed"),
+            (!(self.mean_units > 0.0 && self.max_units > 0.0), "mean and maximum units must be above 0"),
+            (self.classes.iter().any(|c| c.attempts == 0), "each class must allow at least one attempt"),
             (self.plans.iter().any(bad_limit), "a limit needs a rate above 0 and a burst of 0 or more"),
         ];
         match checks.iter().find(|(bad, _)| *bad) {
@@ -153,198 +154,204 @@
     }
 }
 
-/// State of a node in a list.
+/// State of a node in a node list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum NodeState {
-    /// It takes work.
+    /// The node accepts work.
     Up,
-    /// It finishes its work and takes nothing new.
+    /// The node finishes its current work and accepts no new work.
     Draining,
-    /// It is gone.
+    /// The node no longer exists.
     #[default]
     Gone,
 }
 
-/// A node in a list.
+/// An entry of a node list.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct NodeEntry {
-    /// Its number.
+    /// Identifier of the node.
     pub node: NodeId,
-    /// Number of its zone.
+    /// Number of the node's zone.
     pub zone: u32,
-    /// The shard it holds.
+    /// The shard that the node holds.
     pub shard: ShardId,
-    /// Its state.
+    /// Current state of the node.
     pub state: NodeState,
-    /// When it last started, if that was not long ago.
+    /// When the node last started, if it started recently.
     pub started: Option<Time>,
-    /// Its registered size in thousandths of a unit of no meaning, to compare with others; 0 where none is
-    /// told.
+    /// Registered size of the node in thousandths of an arbitrary unit, for comparison between nodes only;
+    /// 0 if the list states no size.
     pub size: u32,
 }
 
-/// How a list of nodes is to be read.
+/// How to interpret a node list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
-    /// Only what has changed.
+    /// Only the entries that have changed.
     Changes,
-    /// All nodes; one that is missing is gone.
+    /// All nodes; a node that is missing from the list is gone.
     Full,
-    /// All nodes as last held before this start; may be out of date.
+    /// All nodes as stored before this process started; the list may be out of date.
     Saved,
-    /// A call for the list failed or the subscription broke; no entries.
+    /// The request for the list failed or the subscription broke; the list has no entries.
     Failed,
 }
 
-/// A request as a client made it.
+/// A request as received from a client.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
-    /// Its number.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// Place of its class in the settings.
+    /// Index of the request's class in [`Settings::classes`].
     pub class: usize,
-    /// Place of its volume's plan in the settings.
+    /// Index of the volume's plan in [`Settings::plans`].
     pub plan: usize,
-    /// The piece of data, if it names one.
+    /// Key of the data that the request refers to, if any.
     pub key: Option<String>,
-    /// When the client gives up.
+    /// Deadline: the time at which the client gives up.
     pub due: Time,
-    /// The volume.
+    /// Name of the volume.
     pub volume: String,
-    /// Its size in units.
+    /// Size of the request in units.
     pub units: f64,
-    /// The shard that holds its data; none for a new object.
+    /// The shard that holds the data; `None` for a new object.
     pub shard: Option<ShardId>,
-    /// Number of hosts that the volume's requests come through.
+    /// Number of hosts through which the volume's requests arrive.
     pub volume_hosts: u32,
-    /// Marked as a client's repeat. Not used: when a request was first made shows in `due`.
+    /// Whether the client marked the request as a repeat. The scheduler does not use it: `due` already shows
+    /// when the request was first made.
     pub repeat: bool,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
-    /// Served.
+    /// The node served the request.
     Served,
     /// The node returned an error; the work may have run.
     Error,
-    /// Turned away before it was seen: it never ran.
+    /// The node rejected the attempt before looking at it, so it never ran.
     Full,
-    /// No answer in time; it may run still.
+    /// No answer arrived in time; the attempt may still be running.
     TimedOut,
-    /// No connection: it never ran.
+    /// No connection to the node could be made, so the attempt never ran.
     Unreachable,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     Reset,
-    /// Withdrawn by the scheduler; it may have run.
+    /// The scheduler cancelled the attempt; it may have run.
     Cancelled,
-    /// It was not sent: it never ran.
+    /// The attempt was not sent, so it never ran.
     NotSent,
-    /// This host had no connection to send it on: it never ran, and that says nothing about the node.
+    /// This host had no connection on which to send the attempt, so it never ran. This says nothing about
+    /// the health of the node.
     NoLink,
 }
 
-/// The end of an attempt.
+/// Result of an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outcome {
-    /// The request.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// Number of the attempt, from 0 in the order of the sends.
+    /// Index of the attempt within its request, from 0 in the order in which they were sent.
     pub attempt: u32,
-    /// How it ended.
+    /// How the attempt ended.
     pub ending: Ending,
-    /// The request has its final answer, by this or earlier.
+    /// Whether the request has its final answer, from this attempt or an earlier one.
     pub closed: bool,
-    /// The node.
+    /// The node to which the attempt was sent.
     pub node: NodeId,
-    /// Time since the send.
+    /// Time since the attempt was sent.
     pub elapsed: Time,
-    /// Units that the node served for the volume through other hosts since its last answer here.
+    /// Units that the node served for the volume through other hosts since its last answer to this host.
     pub served_elsewhere: f64,
-    /// Units served for the volume everywhere in a past meter period, as a part of the plan's rate.
+    /// Units that all nodes served for the volume in a past meter period, as a fraction of the plan's rate.
     pub volume_use: Option<f64>,
-    /// How busy the node said its cores were.
+    /// CPU utilisation that the node reported.
     pub util: Option<f64>,
 }
 
-/// What happened.
+/// An input of the scheduler.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// News of the nodes.
+    /// A node list, or the failure to get one.
     Nodes(ListKind, Vec<NodeEntry>),
-    /// A request came in.
+    /// A request arrived.
     Request(Arrival),
     /// An attempt ended.
     Outcome(Outcome),
-    /// The client is gone; no answer is owed any more.
+    /// The client has disconnected and needs no answer to this request.
     ClientGone(RequestId),
-    /// A timer set by [`Action::Timer`] is due.
+    /// A timer set by [`Action::Timer`] has expired.
     Timer,
-    /// A probe ended: the node, how, and how busy it said its cores were.
+    /// A probe ended: the node, how the probe ended, and the CPU utilisation that the node reported.
     Probed(NodeId, Ending, Option<f64>),
-    /// The time and state of a request whose body is sent on while it comes: when its client gives up as
-    /// far as is known now, and whether some of the body is gone, so that no further attempt can have it.
+    /// Update on a request whose body is forwarded while it arrives: the deadline as known now, and whether
+    /// part of the body has already been discarded, so that no further attempt can send it.
     BodyProgress(RequestId, Time, bool),
-    /// The part of this host's part of all limits that this process may spend from now on, from 0 to 1.
-    /// Less than 1 while two processes are one host.
+    /// Fraction, from 0 to 1, of this host's part of all limits that this process may spend from now on. It
+    /// is less than 1 while two processes act as one host, such as during a hand-over.
     LimitShare(f64),
-    /// How late this host runs, in microseconds: how long what is due has waited to be looked at.
+    /// Scheduling lag of this host: how long work that was due has waited to be processed.
     HostLateness(Time),
-    /// Whether nothing may be sent to any node until further notice: what is known of the nodes may be out
+    /// Whether sending to nodes is suspended. It is suspended while the known state of the nodes may be out
     /// of date.
     Suspended(bool),
-    /// This host ends: whatever it has taken is to have its answer by this time.
+    /// This host shuts down: every request that it has accepted must be answered by this time.
     AnswerAllBy(Time),
-    /// New settings, from now on. A class that requests are open under stands in its place, unchanged.
+    /// New settings, in force from now on. A class that still has open requests keeps its index and its
+    /// contents.
     Settings(Box<Settings>),
 }
 
-/// Why a request is not served.
+/// Why a request is refused or fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// This host runs late.
+    /// This host is overloaded: its scheduling lag is too high.
     HostLate,
-    /// Its volume is beyond its limit.
+    /// The volume has exceeded its limit.
     OverLimit,
-    /// It would come too late, or its time is over.
+    /// The request cannot be answered before its deadline, or the deadline has passed.
     OutOfTime,
-    /// All that hosts may repeat is spent.
+    /// The retry budget is exhausted.
     RetriesSpent,
-    /// It may not be sent once more: it may have run, or its tries or its body are spent.
+    /// The request may not be retried: it may already have run, its attempts are used up, or part of its body
+    /// has been discarded.
     NotRepeatable,
 }
 
-/// What to do, in this order.
+/// An output of the scheduler. The caller carries out actions in the order in which they are returned.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send an attempt of a request to a node; give it up at the stated time.
+    /// Send an attempt of a request to a node.
     Send {
-        /// The request.
+        /// Identifier of the request.
         id: RequestId,
-        /// The node.
+        /// The node to send to.
         node: NodeId,
-        /// When it may begin at the latest: the rules may bind a further attempt to less than its time-out.
+        /// Latest time at which the attempt may be sent. For a retry of a keyed request this can be earlier
+        /// than `until`, since nodes drop repeats only for [`Class::window`].
         begin_by: Time,
         /// When the attempt times out.
         until: Time,
     },
-    /// Final answer: refused, trying again is harmless, best after this time (0: no advice).
+    /// Final answer: the request is refused and did no harm, so the client may retry it, preferably after
+    /// this time (0: no advice).
     Refuse(RequestId, Time, Reason),
-    /// Final answer: failed, nothing is promised.
+    /// Final answer: the request failed; it may or may not have run.
     Fail(RequestId, Reason),
-    /// Withdraw an attempt.
+    /// Cancel the attempt with this index.
     Cancel(RequestId, u32),
     /// Probe a node.
     Probe(NodeId),
-    /// Bring an [`Event::Timer`] after this time.
+    /// Deliver an [`Event::Timer`] after this time.
     Timer(Time),
-    /// Ask for changes of the list from now on.
+    /// Subscribe to changes of the node list.
     Subscribe,
-    /// A line for the operator's log.
+    /// Write a line to the operator's log.
     Log(String),
 }
 
-/// Settings that no scheduler can work with.
+/// Error for settings with which no scheduler can work.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsError(pub String);
 
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,11 +1,13 @@
-//! All decisions of the scheduler. The types of its events, actions and settings: `src/interface.rs`.
+//! All decisions of the scheduler. The types of its events, actions and settings are in `src/interface.rs`.
 //!
-//! Path of a request: `take` ranks it by worth still obtainable per unit and puts it into the queue of
-//! its shard, or of the new objects; an ordered key first waits for its turn in `Line`. When all events
-//! of a moment are read, `pump` looks at what may go. A request for a shard goes to the node that holds it,
-//! a new object to the member of its key's group whose book frees earliest (`choose`), if the node has
-//! room (`room`: bound, cold start, health) and the request may go (`gate`: limit of its volume, effects,
-//! budget). `outcome` settles the book, learns the time per unit, and answers, queues again or gives up.
+//! Path of a request: `accept` ranks it by the value per unit that it can still earn, and puts it into the
+//! queue of its shard or the queue of new objects; a request with an ordered key first waits in its
+//! `KeyQueue`. After all events of a turn are read, `dispatch` sends requests. A request for a shard goes to
+//! the node that holds the shard, and a new object to the node of its key's group that is projected to be
+//! free earliest (`choose_node`). The node must have capacity (`has_capacity`: load bound, cold start,
+//! health) and the rules must allow the send (`may_send`: limit of the volume, effect of the class, retry
+//! budget). `outcome` updates the node's book and time per unit, and then finishes, requeues or rejects the
+//! request.
 
 mod fleet;
 mod node;
@@ -14,83 +16,90 @@
 
 use crate::interface::*;
 use fleet::{hash, Fleet};
-use node::{Bucket, Node, Pace, MEMORY, SECOND, STRIKES};
+use node::{Bucket, DecayingMean, Node, DECAY_TIME_US, SECOND, STRIKE_LIMIT};
 use overload::Overload;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use waiting::{Rank, Waiting};
-
-/// Part of the tightest aim that units out at a node may take to serve: the rest is left to the queue
-/// that other hosts build there, and to pauses.
-const PART_OF_AIM: f64 = 0.35;
-/// A node counts as quick for work within share up to this many times the bound's part of the aim.
-const SHARE_EASE: f64 = 1.5;
-/// Requests of mean size that the bound never goes below: fewer would leave cores of a node idle.
-const FLOOR_REQUESTS: f64 = 4.0;
-/// Most requests out at one node: the ceiling of the design.
-const CEILING: usize = 32;
-/// Time per unit taken for a node when nothing has been served yet anywhere, in microseconds: a guess
-/// that the first answers replace.
-const FIRST_GUESS: f64 = 20_000.0;
-/// Time between the trials of an unwell node: recovery is seen this late.
-const TRIAL: Time = 500_000;
-/// A held request is answered this long before its client gives up: no node serves one in less.
-const LAST_CALL: Time = 30_000;
-/// Part of its time by which a held request is to be answered unless it can hope to be served: a client
-/// that learns late that it was held for nothing has lost the time to try again.
-const DECIDED_BY: f64 = 0.47;
-/// How often it is looked at again from then on: what has lost its hope is told so, not held on to.
-const LOOK_AGAIN: Time = 50_000;
-/// How much longer than the queue before it says such a request is expected to wait: dearer ones come in.
-const HOPE: f64 = 1.5;
-/// Requests of mean size whose weight a first guess of this host's part of a volume has against what the
-/// nodes tell of other hosts: the lead among hosts shifts within seconds.
-const TRUST_UNITS: f64 = 8.0;
-/// Part that the past keeps in the served units of a volume at each answer.
-const KEEP_PART: f64 = 0.96;
-/// Part of a second's reserve that the class of no worth would leave to the dearest: what is served
-/// takes the best that is still due, so a cheap class must not use it up first.
-const KEPT_FOR_DEARER: f64 = 0.6;
-/// Volumes that nobody has asked for and nodes that have been gone for so long are forgotten.
-const FORGOTTEN: Time = 60_000_000;
-/// Entries of the agenda that one turn takes at most, so that no flood of them holds up what else is due.
-const MOST_WAKES: usize = 256;
-/// Heads of queues that one turn looks at, beside those that something has happened to.
-const MOST_HEADS: usize = 256;
-/// Requests that one turn sends or settles at most from its queues.
-const MOST_SENDS: usize = 256;
-/// How soon the next heads are looked at, where one turn does not look at all.
-const NEXT_HEADS: Time = 5_000;
-/// How soon a request is tried again that this host could not send, such as for want of a connection.
-const SEND_AGAIN: Time = 10_000;
-/// How soon a turn follows one that left something over to send.
-const NEXT_TURN: Time = 500;
-/// Safety margin on stores of limits and cold units, against rounding.
+use waiting::{Rank, RankedQueue};
+
+/// Fraction of the tightest aim that the units in flight at a node may take to serve. The rest is left for
+/// the requests that other hosts have queued there, and for pauses of the node.
+const AIM_FRACTION: f64 = 0.35;
+/// Factor on the load bound for requests within the share: a node counts as fast enough for them if a request
+/// of mean size fits within the bound times this factor.
+const SHARE_BOUND_FACTOR: f64 = 1.5;
+/// Minimum of the load bound, in requests of mean size: a lower bound would leave cores of a node idle.
+const MIN_BOUND_REQUESTS: f64 = 4.0;
+/// Maximum number of attempts in flight at one node, a ceiling that the design sets.
+const MAX_IN_FLIGHT: usize = 32;
+/// Time per unit, in microseconds, that is assumed until a node has served a request; the first answers
+/// replace it.
+const INITIAL_TIME_PER_UNIT_US: f64 = 20_000.0;
+/// Interval between trial requests to an unhealthy node: its recovery is noticed after at most this time.
+const TRIAL_INTERVAL: Time = 500_000;
+/// Time before its deadline at which a waiting request is rejected: no node serves a request in less time.
+const ANSWER_MARGIN: Time = 30_000;
+/// Fraction of the time until its deadline after which a waiting request is rejected unless it is expected to
+/// be served in time: a client that is rejected late has no time left to try again.
+const RECHECK_FROM: f64 = 0.47;
+/// Interval at which such a request is checked again, so that it is rejected soon after it can no longer be
+/// served in time.
+const RECHECK_INTERVAL: Time = 50_000;
+/// Factor on the estimated wait at the first of these checks: requests of higher value still arrive and go
+/// first.
+const FIRST_CHECK_FACTOR: f64 = 1.5;
+/// Weight, in requests of mean size, of the initial estimate of this host's part of a volume's traffic
+/// against what nodes report about other hosts. It is small, since the traffic moves between hosts within
+/// seconds.
+const PRIOR_REQUESTS: f64 = 8.0;
+/// Factor by which earlier served units of a volume decay at each answer.
+const SERVED_DECAY: f64 = 0.96;
+/// Fraction of one second's reserve that a class of no value must leave for the class of the highest value.
+/// Requests take the reserve as they arrive, so a class of low value must not use it up first.
+const RESERVE_HELD_BACK: f64 = 0.6;
+/// Time after which volumes without requests and nodes that are gone are forgotten.
+const RETENTION: Time = 60_000_000;
+/// Maximum number of agenda entries that one turn processes, so that many entries do not delay other work.
+const MAX_ENTRIES_PER_TURN: usize = 256;
+/// Maximum number of queue heads that one turn inspects, in addition to the heads of changed queues.
+const MAX_HEADS_PER_TURN: usize = 256;
+/// Maximum number of queued requests that one turn sends or rejects.
+const MAX_SENDS_PER_TURN: usize = 256;
+/// Delay until the next turn when one turn could not inspect all queue heads.
+const NEXT_HEADS_DELAY: Time = 5_000;
+/// Delay before a request is retried that this host could not send for lack of a connection.
+const RESEND_DELAY: Time = 10_000;
+/// Delay until the next turn when one turn reached its maximum number of sends.
+const NEXT_TURN_DELAY: Time = 500;
+/// Margin, in units, on limit buckets and on the load of cold nodes, against rounding errors.
 const MARGIN: f64 = 0.01;
 
-/// What is known of a volume.
+/// State of a volume at this host.
 #[derive(Debug, Default)]
 struct Volume {
     plan: usize,
     hosts: u32,
     limit: Bucket,
-    /// Units of requests that wait for the limit.
-    held: f64,
+    /// Units of the requests that wait for the limit.
+    held_units: f64,
     reserve: Bucket,
     share: Bucket,
-    /// Units served lately through this host, and through others at the nodes that answered.
+    /// Units served recently through this host.
     own: f64,
+    /// Units that the answering nodes served recently through other hosts.
     other: f64,
-    /// Units served through this host as waits.
-    served: Pace,
+    /// Rate of the units served through this host: `sum` holds the decaying total.
+    served: DecayingMean,
 }
 
-/// The requests of an ordered key, and what of them is out.
+/// The open requests of an ordered key, in order of arrival.
 #[derive(Debug, Default)]
-struct Line {
+struct KeyQueue {
     ids: VecDeque<RequestId>,
-    out: u32,
-    rest_until: Time,
+    /// Number of attempts in flight.
+    in_flight: u32,
+    /// No request of the key is sent before this time.
+    paused_until: Time,
 }
 
 /// A request that has no final answer yet.
@@ -99,156 +108,175 @@
     class: usize,
     key: Option<String>,
     due: Time,
+    /// Time until which an answer earns the full value.
     aim: Time,
     volume: String,
     units: f64,
     shard: Option<ShardId>,
     value: f64,
-    /// Part of its worth that it earns in time: all in the reserve, less in the share, least as spare.
-    part: f64,
-    tries: u32,
-    /// Those of them for which this host had no connection.
-    not_sent: u32,
-    out: u32,
-    /// Send, node and number of the first attempt that may have run.
-    maybe: Option<(Time, NodeId, u32)>,
+    /// Fraction of its value that a request earns in time: 1 within the reserve, less within the share, least
+    /// as spare.
+    value_fraction: f64,
+    attempts: u32,
+    /// Number of attempts for which this host had no connection.
+    unsent: u32,
+    /// Number of attempts in flight.
+    in_flight: u32,
+    /// Send time, node and index of the first attempt that may have run.
+    may_have_run: Option<(Time, NodeId, u32)>,
+    /// Rank in its queue while the request is queued.
     rank: Option<Rank>,
-    /// It has taken its units from its volume's limit.
+    /// Whether its units have been taken from the volume's limit.
     paid: bool,
-    /// It waits until they are there.
+    /// Whether the request waits until the volume's limit allows it.
     held: bool,
+    /// Whether the request can no longer meet its aim.
     late: bool,
-    /// Half of its time is over, and it had hope.
-    looked: bool,
-    /// Some of its body is gone: it cannot be sent again.
-    spent: bool,
+    /// Whether the request has passed the check of [`RECHECK_FROM`] once.
+    rechecked: bool,
+    /// Whether part of the body has been discarded, so that the request cannot be sent again.
+    body_discarded: bool,
 }
 
-/// What the agenda can hold.
+/// An entry of the agenda.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-enum Wake {
-    Due(RequestId),
+enum AgendaEntry {
+    /// Check whether a request can still be served before its deadline.
+    Deadline(RequestId),
+    /// Continue with the requests of an ordered key after its pause.
     Key(String),
-    Limit(RequestId),
-    Pump,
-    List,
+    /// Requeue a request that waited for its volume's limit or for a connection.
+    Requeue(RequestId),
+    /// Run `dispatch` again.
+    Dispatch,
+    /// Subscribe to the node list again.
+    Subscribe,
 }
 
-/// The first request of a queue, and which queue that is.
+/// The rank of the first request of a queue, and the shard of the queue (`None`: new objects).
 type Head = (Rank, Option<ShardId>);
 
 /// The scheduler of one host.
 #[derive(Debug, Default)]
 pub struct Scheduler {
-    set: Settings,
+    settings: Settings,
     seed: u64,
     started: Time,
     fleet: Fleet,
     requests: BTreeMap<RequestId, Request>,
-    queues: BTreeMap<Option<ShardId>, Waiting>,
-    /// The first of each queue, dearest first.
+    /// Waiting requests by shard; `None` is the queue of new objects.
+    queues: BTreeMap<Option<ShardId>, RankedQueue>,
+    /// The head of each queue, in rank order.
     heads: BTreeSet<Head>,
-    /// The head at which the next turn goes on, where there are more than one turn looks at.
+    /// The head at which the next turn continues, if one turn could not inspect all heads.
     resume: Option<Head>,
-    /// Queues that something has happened to since the last turn.
-    touched: BTreeSet<Option<ShardId>>,
-    /// Shards whose best request found no room in this round of the heads.
-    kept: BTreeSet<ShardId>,
-    /// Nothing may be sent to any node.
+    /// Queues that may have become sendable since the last turn.
+    changed: BTreeSet<Option<ShardId>>,
+    /// Shards whose first request found no capacity in this pass over the heads.
+    blocked: BTreeSet<ShardId>,
+    /// Whether sending to nodes is suspended.
     suspended: bool,
     overload: Overload,
-    /// Entries of the agenda and heads of queues that were looked at.
-    looks: u64,
-    /// Requests refused because this host ran late.
+    /// Number of agenda entries and queue heads inspected so far.
+    inspections: u64,
+    /// Number of requests refused because this host was overloaded.
     shed: u64,
     volumes: BTreeMap<String, Volume>,
-    lines: BTreeMap<String, Line>,
-    agenda: BTreeSet<(Time, Wake)>,
+    /// Open requests by ordered key.
+    key_queues: BTreeMap<String, KeyQueue>,
+    /// Work to do at later times.
+    agenda: BTreeSet<(Time, AgendaEntry)>,
+    /// Time for which the last timer was requested.
     armed: Option<Time>,
-    taken: VecDeque<Time>,
-    extra: VecDeque<Time>,
+    /// Arrival times within the window of the retry budget.
+    arrivals: VecDeque<Time>,
+    /// Send times of retries within the window of the retry budget.
+    retries: VecDeque<Time>,
     forget_at: Time,
-    /// The longest that a client of each class was ready to wait.
+    /// Longest time until the deadline that a request of each class had on arrival.
     longest: BTreeMap<usize, Time>,
-    /// Units of reads within reserve or share taken since the start.
-    asked: f64,
-    /// Learned over all nodes.
-    pace: Pace,
-    /// This process's part of this host's limits, and since when: its stores began empty then.
-    part: f64,
+    /// Units of the requests for shards within reserve or share accepted since the start.
+    shard_units: f64,
+    /// Time per unit over all nodes.
+    unit_time: DecayingMean,
+    /// Fraction of this host's limits that this process may spend.
+    limit_share: f64,
+    /// When `limit_share` was last set; limit buckets created later start empty as of then.
     limits_since: Time,
 }
 
 impl Scheduler {
-    /// A scheduler that starts at `now` with nothing remembered.
+    /// Creates a scheduler at `now` that knows no nodes or volumes.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let guess = Pace { waits: FIRST_GUESS * 1e-9, depths: 1e-9, at: now };
-        let forget_at = now + FORGOTTEN;
-        let fresh =
-            Scheduler { set: settings, seed, started: now, limits_since: now, ..Scheduler::default() };
-        Ok(Scheduler { forget_at, pace: guess, part: 1.0, ..fresh })
+        let initial = DecayingMean { sum: INITIAL_TIME_PER_UNIT_US * 1e-9, weight: 1e-9, at: now };
+        let forget_at = now + RETENTION;
+        let fresh = Scheduler { settings, seed, started: now, limits_since: now, ..Scheduler::default() };
+        Ok(Scheduler { forget_at, unit_time: initial, limit_share: 1.0, ..fresh })
     }
 
-    /// How many nodes and volumes it remembers.
+    /// Returns the number of known nodes and volumes.
     pub fn known(&self) -> (usize, usize) {
         (self.fleet.len(), self.volumes.len())
     }
 
-    /// How many requests wait for a node.
+    /// Returns the number of queued requests.
     pub fn waiting(&self) -> usize {
-        self.queues.values().map(Waiting::len).sum()
+        self.queues.values().map(RankedQueue::len).sum()
     }
 
-    /// What a second run of a request of this class does, if there is such a class.
+    /// Returns the effect of running a request of this class again, or `None` if there is no such class.
     pub fn effect(&self, class: usize) -> Option<Effect> {
-        self.set.classes.get(class).map(|class| class.effect)
+        self.settings.classes.get(class).map(|class| class.effect)
     }
 
-    /// How many requests were refused since the start because this host ran late.
+    /// Returns the number of requests refused since the start because this host was overloaded.
     pub fn shed(&self) -> u64 {
         self.shed
     }
 
-    /// What was looked at since the start: nodes, places of the ring, entries of the agenda and heads of
-    /// queues. It grows with what happens, not with the fleet, and is the same on any machine.
+    /// Returns the number of inspections since the start, of nodes, ring points, agenda entries and queue
+    /// heads. It is a machine-independent measure of work, which grows with the number of events and not with
+    /// the number of nodes.
     pub fn work(&self) -> u64 {
-        self.fleet.looks() + self.looks
+        self.fleet.inspections() + self.inspections
     }
 
-    /// Takes all events that are known at `now`, in their order, and appends what is to be done. Nothing is
-    /// judged or sent before all are read: after a stall of this host the answers of a second come at once.
+    /// Processes all events that are known at `now`, in order, and appends the resulting actions. Requests
+    /// are only sent after all events are read: after a stall of this host the answers of a whole second
+    /// arrive at once.
     pub fn handle(&mut self, now: Time, events: impl IntoIterator<Item = Event>, acts: &mut Vec<Action>) {
         for event in events {
             match event {
-                Event::Nodes(kind, list) => self.list(now, kind, list, acts),
-                Event::Request(arrival) => self.take(now, arrival, acts),
+                Event::Nodes(kind, list) => self.update_nodes(now, kind, list, acts),
+                Event::Request(arrival) => self.accept(now, arrival, acts),
                 Event::Outcome(outcome) => self.outcome(now, outcome, acts),
                 Event::ClientGone(id) => self.finish(now, id, acts),
                 Event::BodyProgress(id, due, spent) => {
-                    let _ = self.requests.entry(id).and_modify(|r| (r.due, r.spent) = (due, spent));
+                    let _ = self.requests.entry(id).and_modify(|r| (r.due, r.body_discarded) = (due, spent));
                 }
                 Event::LimitShare(part) => {
-                    self.refill(now);
-                    (self.part, self.limits_since) = (part.clamp(1e-6, 1.0), now);
+                    self.refill_limits(now);
+                    (self.limit_share, self.limits_since) = (part.clamp(1e-6, 1.0), now);
                 }
                 Event::Settings(set) => {
-                    self.refill(now);
-                    // A place that is given away knows nothing of what stood there before.
-                    self.longest.retain(|place, _| self.set.classes.get(*place) == set.classes.get(*place));
-                    self.set = *set;
+                    self.refill_limits(now);
+                    // An index that another class now has must not inherit the longest time of the old class.
+                    self.longest
+                        .retain(|index, _| self.settings.classes.get(*index) == set.classes.get(*index));
+                    self.settings = *set;
                 }
                 Event::Suspended(suspended) => self.suspended = suspended,
-                Event::AnswerAllBy(at) => self.end_by(at),
-                Event::HostLateness(late) => self.overload.note(now, late),
-                Event::Timer | Event::Probed(..) => {} // What is due stands in the agenda.
+                Event::AnswerAllBy(at) => self.shorten_deadlines(at),
+                Event::HostLateness(late) => self.overload.record(now, late),
+                Event::Timer | Event::Probed(..) => {} // The agenda holds what is due.
             }
         }
         self.run_agenda(now, acts);
-        self.pump(now, acts);
+        self.dispatch(now, acts);
         if now >= self.forget_at {
-            self.forget_at = now + FORGOTTEN;
-            self.forget(now);
+            self.forget_at = now + RETENTION;
+            self.drop_stale(now);
         }
         if let Some((at, _)) = self.agenda.first() {
             if self.armed.is_none_or(|armed| *at < armed || armed <= now) {
@@ -258,134 +286,141 @@
         }
     }
 
-    /// Whatever waits for longer than this is answered by then.
-    fn end_by(&mut self, at: Time) {
+    /// Shortens all deadlines to at most `at`.
+    fn shorten_deadlines(&mut self, at: Time) {
         let late: Vec<RequestId> =
             self.requests.iter().filter(|(_, request)| request.due > at).map(|(id, _)| *id).collect();
         for id in late {
             self.requests.entry(id).and_modify(|request| request.due = at);
-            self.agenda.insert((at - LAST_CALL, Wake::Due(id)));
+            self.agenda.insert((at - ANSWER_MARGIN, AgendaEntry::Deadline(id)));
         }
     }
 
-    /// Brings every limit's store up to now, before the rate at which it fills changes.
-    fn refill(&mut self, now: Time) {
+    /// Refills the limit buckets of all volumes up to `now`; required before their refill rate changes.
+    fn refill_limits(&mut self, now: Time) {
         for v in self.volumes.values_mut() {
-            let (limit, hosts) = (self.set.plans[v.plan].limit, f64::from(v.hosts) / self.part);
-            let _ = limit.map(|l| v.limit.fill(now, l.rate / hosts, l.burst / hosts - MARGIN));
+            let (limit, hosts) = (self.settings.plans[v.plan].limit, f64::from(v.hosts) / self.limit_share);
+            let _ = limit.map(|l| v.limit.refill(now, l.rate / hosts, l.burst / hosts - MARGIN));
         }
     }
 
-    /// Drops what is long past. Of a limit's store only a full one goes: it would be full anew.
-    fn forget(&mut self, now: Time) {
-        self.refill(now);
+    /// Drops volumes and nodes that have been unused for a long time. A volume whose limit bucket is not full
+    /// is kept, since a new bucket would be full.
+    fn drop_stale(&mut self, now: Time) {
+        self.refill_limits(now);
         let open: BTreeSet<&String> = self.requests.values().map(|r| &r.volume).collect();
-        let (plans, part) = (&self.set.plans, self.part);
+        let (plans, part) = (&self.settings.plans, self.limit_share);
         self.volumes.retain(|name, v| {
             let most = plans[v.plan].limit.map_or(0.0, |l| l.burst * part / f64::from(v.hosts));
-            now - v.reserve.at < FORGOTTEN || open.contains(name) || v.limit.level < most - 2.0 * MARGIN
+            now - v.reserve.at < RETENTION || open.contains(name) || v.limit.level < most - 2.0 * MARGIN
         });
-        let tried: BTreeSet<NodeId> = self.requests.values().filter_map(|r| r.maybe).map(|m| m.1).collect();
+        let tried: BTreeSet<NodeId> =
+            self.requests.values().filter_map(|r| r.may_have_run).map(|m| m.1).collect();
         self.fleet.retain(|n| {
-            let gone = n.entry.state == NodeState::Gone && now - n.listed >= FORGOTTEN;
-            !gone || !n.slots.is_empty() || tried.contains(&n.entry.node)
+            let gone = n.entry.state == NodeState::Gone && now - n.last_listed >= RETENTION;
+            !gone || !n.bookings.is_empty() || tried.contains(&n.entry.node)
         });
     }
 
-    /// A wait drawn evenly from three quarters to five quarters, so that hosts don't move in step.
-    fn spread(&mut self, wait: Time) -> Time {
+    /// Returns a random wait, uniform between 3/4 and 5/4 of `wait`, so that hosts do not act at the same
+    /// time.
+    fn jitter(&mut self, wait: Time) -> Time {
         self.seed = self.seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         wait * 3 / 4 + ((self.seed >> 33) as Time) % (wait / 2).max(1)
     }
 
+    /// Processes agenda entries that are due, up to [`MAX_ENTRIES_PER_TURN`].
     fn run_agenda(&mut self, now: Time, acts: &mut Vec<Action>) {
-        for _ in 0..MOST_WAKES {
+        for _ in 0..MAX_ENTRIES_PER_TURN {
             if self.agenda.first().is_none_or(|(at, _)| *at > now) {
                 return;
             }
-            let Some((_, wake)) = self.agenda.pop_first() else { return };
-            self.looks += 1;
-            match wake {
-                Wake::Due(id) => self.last_call(now, id, acts),
-                Wake::Key(key) => self.advance(now, &key),
-                Wake::Limit(id) => {
-                    self.release(id);
+            let Some((_, entry)) = self.agenda.pop_first() else { return };
+            self.inspections += 1;
+            match entry {
+                AgendaEntry::Deadline(id) => self.check_deadline(now, id, acts),
+                AgendaEntry::Key(key) => self.advance_key(now, &key),
+                AgendaEntry::Requeue(id) => {
+                    self.stop_holding(id);
                     self.enqueue(id);
                 }
-                Wake::List => acts.push(Action::Subscribe),
-                Wake::Pump => {}
+                AgendaEntry::Subscribe => acts.push(Action::Subscribe),
+                AgendaEntry::Dispatch => {}
             }
         }
     }
 
-    // ---- The list of nodes.
+    // ---- Node list.
 
-    fn list(&mut self, now: Time, kind: ListKind, list: Vec<NodeEntry>, acts: &mut Vec<Action>) {
+    /// Processes a node list.
+    fn update_nodes(&mut self, now: Time, kind: ListKind, list: Vec<NodeEntry>, acts: &mut Vec<Action>) {
         if kind == ListKind::Failed {
-            let wait = self.spread(SECOND); // All hosts ask one discovery in turn.
-            self.agenda.insert((now + wait, Wake::List));
+            let wait = self.jitter(SECOND); // All hosts query the same discovery service.
+            self.agenda.insert((now + wait, AgendaEntry::Subscribe));
             return;
         }
-        acts.extend((kind == ListKind::Saved && self.set.list_on_request).then_some(Action::Subscribe));
+        acts.extend((kind == ListKind::Saved && self.settings.list_on_request).then_some(Action::Subscribe));
         if kind != ListKind::Changes {
             let named: BTreeSet<NodeId> = list.iter().map(|e| e.node).collect();
             for missing in self.fleet.missing(&named) {
-                self.enter(now, NodeEntry { state: NodeState::Gone, ..missing });
+                self.update_node(now, NodeEntry { state: NodeState::Gone, ..missing });
             }
         }
-        let cold = |e: &NodeEntry| e.started.is_some_and(|started| now - started < self.set.warmup_time);
+        let cold = |e: &NodeEntry| e.started.is_some_and(|started| now - started < self.settings.warmup_time);
         let (named, cold) = (list.len(), list.iter().filter(|e| cold(e)).count());
         acts.extend((cold > 0).then(|| Action::Log(format!("{cold} nodes of {named} in a list are cold"))));
         for entry in list {
-            self.enter(now, entry);
+            self.update_node(now, entry);
         }
     }
 
-    /// Takes what a list says of one node.
-    fn enter(&mut self, now: Time, entry: NodeEntry) {
-        self.touched.insert(Some(entry.shard));
+    /// Stores the entry of one node from a list.
+    fn update_node(&mut self, now: Time, entry: NodeEntry) {
+        self.changed.insert(Some(entry.shard));
         let fresh = || Node { free_at: now, last_answer: now, ..Node::default() };
-        let (node, before) = self.fleet.enter(entry, fresh);
-        node.listed = now;
+        let (node, before) = self.fleet.upsert(entry, fresh);
+        node.last_listed = now;
         let Some(before) = before else { return };
         if node.entry.started != before.started {
-            node.turns = 0.0;
+            node.next_turn = 0.0;
         }
         if (node.entry.started, node.entry.state) != (before.started, before.state) {
-            (node.strikes, node.last_answer, node.free_at) = (0, now, now); // It is judged anew.
+            (node.strikes, node.last_answer, node.free_at) = (0, now, now); // Its health is assessed anew.
         }
     }
 
-    /// The shortest time within which any class is wanted.
+    /// Returns the shortest aim of all classes.
     fn tightest_aim(&self) -> Time {
-        self.set.classes.iter().map(|c| c.aim).min().unwrap_or(SECOND)
+        self.settings.classes.iter().map(|c| c.aim).min().unwrap_or(SECOND)
     }
 
-    // ---- Taking a request.
+    // ---- Accepting a request.
 
-    fn take(&mut self, now: Time, a: Arrival, acts: &mut Vec<Action>) {
-        self.taken.push_back(now);
-        if a.class >= self.set.classes.len()
-            || a.plan >= self.set.plans.len()
+    /// Accepts a request, or refuses it if this host is overloaded.
+    fn accept(&mut self, now: Time, a: Arrival, acts: &mut Vec<Action>) {
+        self.arrivals.push_back(now);
+        if a.class >= self.settings.classes.len()
+            || a.plan >= self.settings.plans.len()
             || self.requests.contains_key(&a.id)
         {
-            return; // The adapter names only classes and plans of the settings, and each number once.
+            return; // Not expected: callers use valid class and plan indices, and each id once.
         }
-        if let Some(wait) = self.overload.refuses(now, self.tightest_aim()) {
-            // Nothing has been sent of it yet: refusing is harmless now, and may not be later.
+        if let Some(wait) = self.overload.retry_after(now, self.tightest_aim()) {
+            // Nothing has been sent yet, so refusing is harmless now; later the request may have run.
             self.shed += 1;
-            acts.push(Action::Refuse(a.id, wait.clamp(0, self.set.max_retry_after), Reason::HostLate));
+            acts.push(Action::Refuse(a.id, wait.clamp(0, self.settings.max_retry_after), Reason::HostLate));
             return;
         }
-        let class = &self.set.classes[a.class];
-        // The longest time that clients of a class leave tells when this one first asked: it may come from
-        // a backlog, or again. One that leaves less than the aim is in a hurry.
+        let class = &self.settings.classes[a.class];
+        // A request may arrive from a backlog or as a client's retry. The longest time that requests of the
+        // class have left on arrival shows when this one was first made. A request with less time than the
+        // aim is taken as new, with a short timeout.
         let left = a.due - now;
         let longest = self.longest.entry(a.class).or_insert(left);
         *longest = left.max(*longest);
         let aim = if left <= class.aim { now + class.aim } else { a.due - *longest + class.aim };
-        let worth = class.value * self.set.plans[a.plan].price;
-        let part = self.due_part(now, &a);
+        let value = class.value * self.settings.plans[a.plan].price;
+        let value_fraction = self.value_fraction(now, &a);
         let request = Request {
             class: a.class,
             key: a.key,
@@ -394,36 +429,37 @@
             volume: a.volume,
             units: a.units.max(0.0),
             shard: a.shard,
-            value: worth * part,
-            part,
+            value: value * value_fraction,
+            value_fraction,
             late: aim <= now,
             ..Request::default()
         };
-        if request.shard.is_some() && part > self.set.spare_value {
-            self.asked += request.units;
+        if request.shard.is_some() && value_fraction > self.settings.spare_value {
+            self.shard_units += request.units;
         }
-        let line = request.key.clone().filter(|_| self.set.classes[a.class].ordered);
-        let half = now + (left as f64 * DECIDED_BY) as Time;
-        self.agenda.insert((half.min(a.due - LAST_CALL).max(now), Wake::Due(a.id)));
+        let ordered_key = request.key.clone().filter(|_| self.settings.classes[a.class].ordered);
+        let check_at = now + (left as f64 * RECHECK_FROM) as Time;
+        self.agenda.insert((check_at.min(a.due - ANSWER_MARGIN).max(now), AgendaEntry::Deadline(a.id)));
         self.requests.insert(a.id, request);
-        match line {
+        match ordered_key {
             Some(key) => {
-                self.lines.entry(key.clone()).or_default().ids.push_back(a.id);
-                self.advance(now, &key);
+                self.key_queues.entry(key.clone()).or_default().ids.push_back(a.id);
+                self.advance_key(now, &key);
             }
             None => self.enqueue(a.id),
         }
     }
 
-    /// Part of its worth that a request earns if served in time: inside the volume's reserve, inside its
-    /// share, or spare. This host's part of both is what it served of the volume lately, where nodes tell
-    /// what they serve through others; else a guess between an even part and all of it.
-    fn due_part(&mut self, now: Time, a: &Arrival) -> f64 {
-        let plan = &self.set.plans[a.plan];
-        let hosts = a.volume_hosts.clamp(1, self.set.hosts.max(1));
-        let size: f64 = self.set.plans.iter().map(|p| p.rate).sum();
-        let weights: f64 = self.set.plans.iter().map(|p| p.weight).sum();
-        let prior = TRUST_UNITS * self.set.mean_units;
+    /// Returns the fraction of its value that a request earns if served in time, which depends on whether it
+    /// is within the volume's reserve, within its share, or spare. This host's part of reserve and share is
+    /// its part of the units served recently for the volume. Without reports from nodes about other hosts it
+    /// is estimated between an even part and everything.
+    fn value_fraction(&mut self, now: Time, a: &Arrival) -> f64 {
+        let plan = &self.settings.plans[a.plan];
+        let hosts = a.volume_hosts.clamp(1, self.settings.hosts.max(1));
+        let size: f64 = self.settings.plans.iter().map(|p| p.rate).sum();
+        let weights: f64 = self.settings.plans.iter().map(|p| p.weight).sum();
+        let prior = PRIOR_REQUESTS * self.settings.mean_units;
         let (own, other) = self.volumes.get(&a.volume).map_or((0.0, 0.0), |v| (v.own, v.other));
         let part = (own + prior) / (own + other + prior * f64::from(hosts).sqrt());
         let (reserve, share) = (plan.reserve * part, plan.weight * size / weights.max(1e-9) * part);
@@ -438,56 +474,56 @@
             ..Volume::default()
         });
         (volume.plan, volume.hosts) = (a.plan, volume.hosts.max(hosts));
-        let most = self.set.max_units;
-        let best = self.set.classes.iter().map(|c| c.value).fold(1e-9, f64::max);
-        let left = (1.0 - self.set.classes[a.class].value / best) * KEPT_FOR_DEARER;
-        if volume.reserve.fill(now, reserve, reserve + most) >= a.units + left * reserve && reserve > 0.0 {
+        let most = self.settings.max_units;
+        let best = self.settings.classes.iter().map(|c| c.value).fold(1e-9, f64::max);
+        let left = (1.0 - self.settings.classes[a.class].value / best) * RESERVE_HELD_BACK;
+        if volume.reserve.refill(now, reserve, reserve + most) >= a.units + left * reserve && reserve > 0.0 {
             volume.reserve.level -= a.units;
             1.0
-        } else if volume.share.fill(now, share, share + most) >= a.units {
+        } else if volume.share.refill(now, share, share + most) >= a.units {
             volume.share.level -= a.units;
-            self.set.share_value
+            self.settings.share_value
         } else {
-            self.set.spare_value
+            self.settings.spare_value
         }
     }
 
-    /// Lets the first request of an ordered key into its queue when nothing before it is unfinished.
-    fn advance(&mut self, now: Time, key: &str) {
-        let Some(line) = self.lines.get(key) else { return };
-        let head = line.ids.front().copied();
-        let started = |id| self.requests.get(&id).is_some_and(|r| r.tries > 0 || r.rank.is_some());
-        if line.out > 0 || head.is_some_and(started) {
+    /// Queues the first request of an ordered key if no earlier request of the key is unfinished.
+    fn advance_key(&mut self, now: Time, key: &str) {
+        let Some(queue) = self.key_queues.get(key) else { return };
+        let head = queue.ids.front().copied();
+        let started = |id| self.requests.get(&id).is_some_and(|r| r.attempts > 0 || r.rank.is_some());
+        if queue.in_flight > 0 || head.is_some_and(started) {
             return;
         }
-        if line.rest_until > now {
-            self.agenda.insert((line.rest_until, Wake::Key(key.to_string())));
+        if queue.paused_until > now {
+            self.agenda.insert((queue.paused_until, AgendaEntry::Key(key.to_string())));
             return;
         }
         match head {
             Some(head) => self.enqueue(head),
-            None => drop(self.lines.remove(key)),
+            None => drop(self.key_queues.remove(key)),
         }
     }
 
-    /// Puts a request into the queue of its shard or of the new objects.
+    /// Adds a request to the queue of its shard, or to the queue of new objects.
     fn enqueue(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id).filter(|r| !r.held) else { return };
-        let late = if request.late { self.set.classes[request.class].late_value } else { 1.0 };
+        let late_factor = if request.late { self.settings.classes[request.class].late_value } else { 1.0 };
         let by = if request.late { request.due } else { request.aim };
-        let rank = (Reverse((request.value * late * 1e6).max(0.0) as u64), by, id);
+        let rank = (Reverse((request.value * late_factor * 1e6).max(0.0) as u64), by, id);
         request.rank = Some(rank);
         let (shard, units) = (request.shard, request.units);
         let queue = self.queues.entry(shard).or_default();
         let before = queue.first();
         queue.insert(rank, units);
         let after = queue.first();
-        self.moved(shard, before, after);
+        self.update_head(shard, before, after);
     }
 
-    /// Keeps the heads as the queues have them, after the first of a queue has changed.
-    fn moved(&mut self, shard: Option<ShardId>, before: Option<Rank>, after: Option<Rank>) {
-        self.touched.insert(shard);
+    /// Updates the set of heads after a queue has changed, given its first rank before and after.
+    fn update_head(&mut self, shard: Option<ShardId>, before: Option<Rank>, after: Option<Rank>) {
+        self.changed.insert(shard);
         if before == after {
             return;
         }
@@ -505,25 +541,26 @@
         if queue.is_empty() {
             self.queues.remove(&shard);
         }
-        self.moved(shard, before, after);
+        self.update_head(shard, before, after);
     }
 
     // ---- Sending.
 
-    /// Sends what may go, dearest first whether new or read. The room of a node whose best read finds none is
-    /// not for what is worth less. Harm: reads that wait for a slow node keep new objects away from it.
-    fn pump(&mut self, now: Time, acts: &mut Vec<Action>) {
-        let mut heads = self.round();
+    /// Sends all requests that may be sent, highest value first across all queues. If the best request of a
+    /// shard finds no capacity at its node, requests of lower value do not get that capacity either. As a
+    /// drawback, requests that wait for a slow node keep new objects away from it.
+    fn dispatch(&mut self, now: Time, acts: &mut Vec<Action>) {
+        let mut heads = self.next_heads();
         if self.suspended {
             return;
         }
         let mut sent = 0;
         while let Some((_, shard)) = heads.pop_first() {
-            self.looks += 1;
-            if sent == MOST_SENDS {
-                // The rest goes in the next turn, after whatever else is due.
-                self.touched.insert(shard);
-                self.agenda.insert((now + NEXT_TURN, Wake::Pump));
+            self.inspections += 1;
+            if sent == MAX_SENDS_PER_TURN {
+                // The rest is sent in the next turn, so that other due work runs first.
+                self.changed.insert(shard);
+                self.agenda.insert((now + NEXT_TURN_DELAY, AgendaEntry::Dispatch));
                 return;
             }
             match self.send_head(now, shard, acts) {
@@ -531,12 +568,12 @@
                     sent += 1;
                     heads.extend(self.head(shard));
                 }
-                false => self.kept.extend(shard),
+                false => self.blocked.extend(shard),
             }
         }
-        // What one turn could not look at goes on in the next one.
+        // The next turn inspects the remaining heads.
         if self.resume.is_some() {
-            self.agenda.insert((now + NEXT_HEADS, Wake::Pump));
+            self.agenda.insert((now + NEXT_HEADS_DELAY, AgendaEntry::Dispatch));
         }
     }
 
@@ -544,73 +581,77 @@
         Some((self.queues.get(&shard)?.first()?, shard))
     }
 
-    /// The heads that this turn looks at: all where they are few; else those that something has happened
-    /// to, and the next of a round over all.
-    fn round(&mut self) -> BTreeSet<Head> {
-        let touched = std::mem::take(&mut self.touched);
+    /// Returns the heads to inspect in this turn: all heads if they are few, else the heads of changed queues
+    /// and the next [`MAX_HEADS_PER_TURN`] of a pass over all heads.
+    fn next_heads(&mut self) -> BTreeSet<Head> {
+        let changed = std::mem::take(&mut self.changed);
         let begin = self.resume.take();
         if begin.is_none() {
-            self.kept.clear();
+            self.blocked.clear();
         }
         let mut rest = match begin {
             Some(head) => self.heads.range(head..),
             None => self.heads.range(..),
         };
-        let mut heads: BTreeSet<Head> = rest.by_ref().take(MOST_HEADS).copied().collect();
+        let mut heads: BTreeSet<Head> = rest.by_ref().take(MAX_HEADS_PER_TURN).copied().collect();
         self.resume = rest.next().copied();
-        heads.extend(touched.into_iter().chain([None]).filter_map(|shard| self.head(shard)));
+        heads.extend(changed.into_iter().chain([None]).filter_map(|shard| self.head(shard)));
         heads
     }
 
-    /// The design: of the key's group, the member whose book frees earliest among those with room; of equals
-    /// the first by the key, so that keys spread though most books are empty.
-    fn choose(&mut self, now: Time, id: RequestId, acts: &mut Vec<Action>) -> Option<NodeId> {
+    /// Chooses the node for a new object: of the nodes in the key's group that have capacity, the one that is
+    /// projected to finish the request earliest. Ties go to the key's preferred node, so that keys are spread
+    /// over nodes even if most books are empty.
+    fn choose_node(&mut self, now: Time, id: RequestId, acts: &mut Vec<Action>) -> Option<NodeId> {
         let group = self.fleet.group(self.requests.get(&id)?.key.as_deref().unwrap_or(""));
         for node in &group {
-            self.judge(now, *node, acts);
+            self.update_health(now, *node, acts);
         }
         let (average, request) = (self.average(), self.requests.get(&id)?);
         group
             .iter()
             .filter_map(|node| self.fleet.get(*node))
-            .filter(|n| !n.unwell && !self.kept.contains(&n.entry.shard) && self.room(now, n, request))
+            .filter(|n| {
+                !n.unhealthy && !self.blocked.contains(&n.entry.shard) && self.has_capacity(now, n, request)
+            })
             .min_by_key(|n| {
-                let own = request.units * n.per_unit(now, average);
-                (n.faulty(now), n.frees(now, average) + own as Time)
+                let own = request.units * n.time_per_unit(now, average);
+                (n.error_prone(now), n.projected_free(now, average) + own as Time)
             })
             .map(|n| n.entry.node)
     }
 
-    /// Sends the first request that waits for a shard, or of the new objects; false when it finds no room.
+    /// Sends, reranks or rejects the first request of a queue; returns false if no node has capacity for it.
     fn send_head(&mut self, now: Time, shard: Option<ShardId>, acts: &mut Vec<Action>) -> bool {
-        let Some((_, _, id)) = self.queues.get(&shard).and_then(Waiting::first) else { return false };
+        let Some((_, _, id)) = self.queues.get(&shard).and_then(RankedQueue::first) else { return false };
         let node = match shard {
             Some(shard) => self.fleet.holder(shard),
-            None => self.choose(now, id, acts),
+            None => self.choose_node(now, id, acts),
         };
         let Some(node) = node else { return false };
-        self.judge(now, node, acts);
-        if !self.turned_late(now, id, node, acts) {
+        self.update_health(now, node, acts);
+        if !self.rerank_or_reject(now, id, node, acts) {
             let (Some(at), Some(request)) = (self.fleet.get(node), self.requests.get(&id)) else {
                 return false;
             };
-            if !self.room(now, at, request) {
+            if !self.has_capacity(now, at, request) {
                 return false;
             }
-            if self.gate(now, id, node, acts) {
+            if self.may_send(now, id, node, acts) {
                 self.send(now, id, node, acts);
             }
         }
         true
     }
 
-    /// Ranks a request anew that can no longer make its aim at this node, and answers one that would not be
-    /// served before its client gives up: sent all the same, it would only take the place of others.
-    fn turned_late(&mut self, now: Time, id: RequestId, node: NodeId, acts: &mut Vec<Action>) -> bool {
+    /// Reranks a request that can no longer meet its aim at this node, and rejects one that would not be
+    /// served before its deadline, since sending it would only delay others. Returns whether it did either.
+    fn rerank_or_reject(&mut self, now: Time, id: RequestId, node: NodeId, acts: &mut Vec<Action>) -> bool {
         let average = self.average();
-        let Some(node) = self.fleet.get(node).filter(|n| !n.unwell) else { return false };
+        let Some(node) = self.fleet.get(node).filter(|n| !n.unhealthy) else { return false };
         let Some(request) = self.requests.get_mut(&id) else { return false };
-        let done = now + (node.per_unit(now, average) * (node.units_out * 0.5 + request.units)) as Time;
+        let done =
+            now + (node.time_per_unit(now, average) * (node.units_in_flight * 0.5 + request.units)) as Time;
         if done > request.due {
             self.give_up(now, id, Reason::OutOfTime, acts);
             return true;
@@ -624,94 +665,102 @@
         true
     }
 
-    /// Whether a request may go to a node now. What is worth less needs a quicker node: work in its volume's
-    /// share, and more so spare and late work, goes without the floor where the node is slow, and late work
-    /// is no reason to use an idle one, since other hosts' better work would wait behind it. Guards against
-    /// jams made by all hosts together; stale learning could make it wait.
-    fn room(&self, now: Time, node: &Node, request: &Request) -> bool {
-        let (set, units) = (&self.set, request.units);
-        if !self.cold_room(now, node, request) {
+    /// Whether a node has capacity for a request now. Requests of lower value need a faster node: on a slow
+    /// node, requests within the share, and even more so spare and late requests, do not get the minimum load
+    /// bound. Late requests are not sent to an idle node either, since better requests of other hosts would
+    /// wait behind them. This prevents congestion that all hosts cause together. As a drawback, an outdated
+    /// time per unit can make requests wait.
+    fn has_capacity(&self, now: Time, node: &Node, request: &Request) -> bool {
+        let (set, units) = (&self.settings, request.units);
+        if !self.has_cold_capacity(now, node, request) {
             return false;
         }
-        if node.unwell {
-            return now >= node.next_trial && node.slots.len() < CEILING;
+        if node.unhealthy {
+            return now >= node.next_trial && node.bookings.len() < MAX_IN_FLIGHT;
         }
         let aim = self.tightest_aim() as f64;
-        let poor = request.late || request.part <= set.spare_value;
-        let bound = aim * PART_OF_AIM / node.per_unit(now, self.average());
-        let eased = bound * if poor { 1.0 } else { SHARE_EASE };
-        let below = |bound: f64| node.slots.len() < CEILING && node.units_out + units <= bound;
-        let quick = !request.late && eased >= set.mean_units;
-        if !poor && (quick || request.part >= 1.0) {
-            return node.slots.is_empty() || below(bound.max(FLOOR_REQUESTS * set.mean_units));
+        let low_value = request.late || request.value_fraction <= set.spare_value;
+        let bound = aim * AIM_FRACTION / node.time_per_unit(now, self.average());
+        let eased = bound * if low_value { 1.0 } else { SHARE_BOUND_FACTOR };
+        let below = |bound: f64| node.bookings.len() < MAX_IN_FLIGHT && node.units_in_flight + units <= bound;
+        let fast = !request.late && eased >= set.mean_units;
+        if !low_value && (fast || request.value_fraction >= 1.0) {
+            return node.bookings.is_empty() || below(bound.max(MIN_BOUND_REQUESTS * set.mean_units));
         }
-        let unheard = poor && now - node.last_answer > SECOND * Time::from(set.hosts);
-        (node.slots.is_empty() && (quick || unheard)) || below(eased)
+        let no_recent_answer = low_value && now - node.last_answer > SECOND * Time::from(set.hosts);
+        (node.bookings.is_empty() && (fast || no_recent_answer)) || below(eased)
     }
 
-    /// This host's even part of what a node that has just started bears in a window; a former life may have
-    /// used that of the first. Below a mean request the best work goes by turns. Harm: a turn goes unused.
-    fn cold_room(&self, now: Time, node: &Node, request: &Request) -> bool {
+    /// Whether a request is within this host's even part of what a cold node can take in a window. For one
+    /// window after its own start this host sends nothing to a node that started before it, since this host
+    /// may have used up its part before it restarted. If the part is less than a request of mean size, hosts
+    /// take turns, and a turn may only be used for a request for a shard that is neither late nor spare. As a
+    /// drawback, a host without such a request leaves its turn unused.
+    fn has_cold_capacity(&self, now: Time, node: &Node, request: &Request) -> bool {
         let Some(started) = node.entry.started else { return true };
-        let (set, age) = (&self.set, now - started);
+        let (set, age) = (&self.settings, now - started);
         let warm = age >= set.warmup_time + set.cold_window;
         if warm || (started <= self.started && now - self.started <= set.cold_window) {
             return warm;
         }
-        let part = self.borne(now, node).0 / f64::from(set.hosts);
+        let part = self.cold_capacity(now, node).0 / f64::from(set.hosts);
         if part < set.mean_units {
-            let best = request.shard.is_some() && !request.late && request.part > set.spare_value;
-            return best && self.turn(now, node) > node.turns;
+            let best = request.shard.is_some() && !request.late && request.value_fraction > set.spare_value;
+            return best && self.cold_turn(now, node) > node.next_turn;
         }
-        let sent: f64 = node.recent.iter().filter(|(t, _)| *t >= now - set.cold_window).map(|(_, u)| u).sum();
+        let sent: f64 =
+            node.recent_sends.iter().filter(|(t, _)| *t >= now - set.cold_window).map(|(_, u)| u).sum();
         sent + request.units <= part - MARGIN
     }
 
-    /// Units that a cold node bears in a window: what is told for the smallest, more by size, growing as
-    /// slowly as the settings let it warm up; and the turns of a mean request that makes since its start.
-    fn borne(&self, now: Time, node: &Node) -> (f64, f64) {
-        let (set, age) = (&self.set, (now - node.entry.started.unwrap_or(now)).max(0));
+    /// Returns the units that a cold node can take in a window, and the number of requests of mean size
+    /// (turns) that this allows since the start of the node. The capacity starts at the configured units for
+    /// the smallest node, scaled by size, and grows at the slowest rate that the settings allow.
+    fn cold_capacity(&self, now: Time, node: &Node) -> (f64, f64) {
+        let (set, age) = (&self.settings, (now - node.entry.started.unwrap_or(now)).max(0));
         let (window, cold) = (set.cold_window.max(1) as f64, set.warmup_time.max(1) as f64);
         let grows = 1.0 / set.cold_fraction.clamp(0.001, 1.0) - 1.0;
         let proven = ((age - set.cold_window).max(0) as f64 / cold).min(1.0);
-        let least = self.fleet.least_size();
+        let least = self.fleet.min_size();
         let units = set.cold_units * f64::from(node.entry.size.max(least)) / f64::from(least);
         let windows = (age as f64 + grows * proven * proven * cold / 2.0) / window;
         (units * (1.0 + grows * proven), units * windows / set.mean_units)
     }
 
-    /// The last turn of this host at a cold node, which hosts take by their numbers; below 0 if it is no
-    /// longer good. A window with N turns of its own sees N + 2 sqrt N + 2 at most; only where hosts ask too
-    /// little to use theirs is a turn good for longer, until two in three would have been used.
-    fn turn(&self, now: Time, node: &Node) -> f64 {
-        let ((units, given), set) = (self.borne(now, node), &self.set);
-        let (calls, hosts) = (units / set.mean_units, f64::from(set.hosts));
-        let place = hash("", node.entry.node).wrapping_add(u64::from(set.number)) % u64::from(set.hosts);
-        let turn = 1.0 + place as f64 + ((given - 1.0 - place as f64) / hosts).floor() * hosts;
+    /// Returns this host's latest turn at a cold node, or a negative number if the turn has expired. Hosts
+    /// take turns in the order of their indices. At most `N + 2 sqrt(N) + 2` sends occur in a window that has
+    /// N turns of its own. Only where hosts send too few requests to use their turns does a turn stay valid
+    /// for longer, until two in three turns would be used.
+    fn cold_turn(&self, now: Time, node: &Node) -> f64 {
+        let ((units, turns), set) = (self.cold_capacity(now, node), &self.settings);
+        let (turns_per_window, hosts) = (units / set.mean_units, f64::from(set.hosts));
+        let offset = hash("", node.entry.node).wrapping_add(u64::from(set.number)) % u64::from(set.hosts);
+        let turn = 1.0 + offset as f64 + ((turns - 1.0 - offset as f64) / hosts).floor() * hosts;
         let windows = ((now - self.started) as f64 / set.cold_window.max(1) as f64).max(0.1);
-        let usual = (self.asked / set.mean_units / self.fleet.len().max(1) as f64 + 1.0) / windows;
-        let good = (calls / usual).max(2.0 * calls.sqrt() + 1.0);
-        if given - turn <= good {
+        let usual = (self.shard_units / set.mean_units / self.fleet.len().max(1) as f64 + 1.0) / windows;
+        let valid_for = (turns_per_window / usual).max(2.0 * turns_per_window.sqrt() + 1.0);
+        if turns - turn <= valid_for {
             turn
         } else {
             -1.0
         }
     }
 
-    /// Whether the rules let a request go to a node now; if not, it leaves the queue for where it waits.
-    fn gate(&mut self, now: Time, id: RequestId, node: NodeId, acts: &mut Vec<Action>) -> bool {
-        let within_budget = self.budget(now);
+    /// Whether the rules allow a request to be sent to a node now. If not, the request is rejected or is held
+    /// until its volume's limit allows it.
+    fn may_send(&mut self, now: Time, id: RequestId, node: NodeId, acts: &mut Vec<Action>) -> bool {
+        let within_budget = self.within_retry_budget(now);
         let Some(request) = self.requests.get(&id) else { return false };
-        if request.tries > 0 && !(within_budget && self.may_repeat(now, request, node)) {
+        if request.attempts > 0 && !(within_budget && self.may_retry(now, request, node)) {
             let reason = if within_budget { Reason::NotRepeatable } else { Reason::RetriesSpent };
             self.give_up(now, id, reason, acts);
             return false;
         }
         let Some(volume) = self.volumes.get_mut(&request.volume) else { return true };
         let unpaid = !request.paid;
-        let Some(limit) = self.set.plans[volume.plan].limit.filter(|_| unpaid) else { return true };
-        let hosts = f64::from(volume.hosts) / self.part;
-        let level = volume.limit.fill(now, limit.rate / hosts, limit.burst / hosts - MARGIN);
+        let Some(limit) = self.settings.plans[volume.plan].limit.filter(|_| unpaid) else { return true };
+        let hosts = f64::from(volume.hosts) / self.limit_share;
+        let level = volume.limit.refill(now, limit.rate / hosts, limit.burst / hosts - MARGIN);
         if level >= request.units {
             volume.limit.level -= request.units;
             if let Some(request) = self.requests.get_mut(&id) {
@@ -719,37 +768,42 @@
             }
             return true;
         }
-        let short = volume.held + request.units - level;
-        let wait = ((short / limit.rate * hosts * SECOND as f64) as Time).max(1000);
-        // Beyond the limit nothing is earned: wait for the store, or be told when to come back.
+        let missing = volume.held_units + request.units - level;
+        let wait = ((missing / limit.rate * hosts * SECOND as f64) as Time).max(1000);
+        // The request waits for the bucket if it can still meet its aim, and is refused with a retry-after
+        // time otherwise.
         if now + wait > request.aim || request.units > limit.burst / hosts - MARGIN {
-            self.answer(now, id, wait, Reason::OverLimit, acts);
+            self.reject(now, id, wait, Reason::OverLimit, acts);
             return false;
         }
-        volume.held += request.units;
+        volume.held_units += request.units;
         if let Some(request) = self.requests.get_mut(&id) {
             request.held = true;
         }
         self.dequeue(id);
-        self.agenda.insert((now + wait, Wake::Limit(id)));
+        self.agenda.insert((now + wait, AgendaEntry::Requeue(id)));
         false
     }
 
     /// Ends the wait of a request for its volume's limit.
-    fn release(&mut self, id: RequestId) {
+    fn stop_holding(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id).filter(|r| r.held) else { return };
         request.held = false;
         if let Some(volume) = self.volumes.get_mut(&request.volume) {
-            volume.held = (volume.held - request.units).max(0.0);
+            volume.held_units = (volume.held_units - request.units).max(0.0);
         }
     }
 
-    fn may_repeat(&self, now: Time, request: &Request, node: NodeId) -> bool {
-        let class = &self.set.classes[request.class];
-        if request.spent || request.tries - request.not_sent >= class.attempts || request.out > 0 {
+    /// Whether another attempt of a request may be sent to a node, as far as its class allows it.
+    fn may_retry(&self, now: Time, request: &Request, node: NodeId) -> bool {
+        let class = &self.settings.classes[request.class];
+        if request.body_discarded
+            || request.attempts - request.unsent >= class.attempts
+            || request.in_flight > 0
+        {
             return false;
         }
-        let Some((sent, first, _)) = request.maybe else { return true };
+        let Some((sent, first, _)) = request.may_have_run else { return true };
         let (Some(a), Some(b)) = (self.fleet.get(first), self.fleet.get(node)) else { return false };
         match class.effect {
             Effect::Safe => true,
@@ -761,111 +815,114 @@
         }
     }
 
-    /// Whether the budget allows one more attempt beyond a first one.
-    fn budget(&mut self, now: Time) -> bool {
-        let span = self.set.budget.map_or(0, |b| b.span);
-        while self.taken.front().is_some_and(|t| *t <= now - span) {
-            self.taken.pop_front();
+    /// Whether the retry budget allows one more retry.
+    fn within_retry_budget(&mut self, now: Time) -> bool {
+        let span = self.settings.budget.map_or(0, |b| b.span);
+        while self.arrivals.front().is_some_and(|t| *t <= now - span) {
+            self.arrivals.pop_front();
         }
-        while self.extra.front().is_some_and(|t| *t < now - span) {
-            self.extra.pop_front();
+        while self.retries.front().is_some_and(|t| *t < now - span) {
+            self.retries.pop_front();
         }
-        let (extra, taken) = (self.extra.len() as f64, self.taken.len() as f64);
-        self.set.budget.is_none_or(|b| extra + 1.0 <= b.free + b.share * taken)
+        let (retries, arrivals) = (self.retries.len() as f64, self.arrivals.len() as f64);
+        self.settings.budget.is_none_or(|b| retries + 1.0 <= b.free + b.share * arrivals)
     }
 
+    /// Sends an attempt of a request to a node and records it in the node's book.
     fn send(&mut self, now: Time, id: RequestId, to: NodeId, acts: &mut Vec<Action>) {
         self.dequeue(id);
         let average = self.average();
-        let turn = self.fleet.get(to).map_or(0.0, |node| self.turn(now, node));
+        let turn = self.fleet.get(to).map_or(0.0, |node| self.cold_turn(now, node));
         let (Some(request), Some(node)) = (self.requests.get_mut(&id), self.fleet.get_mut(to)) else {
             return;
         };
-        // A dear one uses up further turns.
-        let more = (request.units / self.set.mean_units).round().max(1.0) - 1.0;
-        node.turns = node.turns.max(turn + 0.5 + more * f64::from(self.set.hosts));
-        let attempt = request.tries;
+        // A large request uses up further turns.
+        let more_turns = (request.units / self.settings.mean_units).round().max(1.0) - 1.0;
+        node.next_turn = node.next_turn.max(turn + 0.5 + more_turns * f64::from(self.settings.hosts));
+        let attempt = request.attempts;
         if attempt > 0 {
-            self.extra.push_back(now);
+            self.retries.push_back(now);
         }
-        request.tries += 1;
-        request.out += 1;
-        // Within the window of the first that may have run.
-        let class = &self.set.classes[request.class];
-        let keyed = request.maybe.filter(|_| matches!(class.effect, Effect::Keyed(_)));
+        request.attempts += 1;
+        request.in_flight += 1;
+        // A retry of a keyed request must be sent within the window of the first attempt that may have run.
+        let class = &self.settings.classes[request.class];
+        let keyed = request.may_have_run.filter(|_| matches!(class.effect, Effect::Keyed(_)));
         let begin_by = keyed.map_or(request.due, |(first, ..)| first + class.window);
-        request.maybe = request.maybe.or(Some((now, to, attempt)));
-        let ordered_key = request.key.clone().filter(|_| self.set.classes[request.class].ordered);
-        if let Some(line) = ordered_key.as_ref().and_then(|k| self.lines.get_mut(k)) {
-            line.out += 1;
+        request.may_have_run = request.may_have_run.or(Some((now, to, attempt)));
+        let ordered_key = request.key.clone().filter(|_| self.settings.classes[request.class].ordered);
+        if let Some(queue) = ordered_key.as_ref().and_then(|k| self.key_queues.get_mut(k)) {
+            queue.in_flight += 1;
         }
-        node.book(now, (id, attempt), request.units, ordered_key, average);
-        let window = self.set.cold_window;
-        node.recent.push_back((now, request.units));
-        while node.recent.front().is_some_and(|(t, _)| *t < now - window) {
-            node.recent.pop_front();
+        node.add_booking(now, (id, attempt), request.units, ordered_key, average);
+        let window = self.settings.cold_window;
+        node.recent_sends.push_back((now, request.units));
+        while node.recent_sends.front().is_some_and(|(t, _)| *t < now - window) {
+            node.recent_sends.pop_front();
         }
-        if node.unwell {
-            node.next_trial = now + TRIAL;
-            self.agenda.insert((node.next_trial, Wake::Pump));
+        if node.unhealthy {
+            node.next_trial = now + TRIAL_INTERVAL;
+            self.agenda.insert((node.next_trial, AgendaEntry::Dispatch));
         }
         acts.push(Action::Send { id, node: to, begin_by, until: request.due });
     }
 
     // ---- Outcomes and answers.
 
+    /// Processes the end of an attempt; see the module documentation.
     fn outcome(&mut self, now: Time, o: Outcome, acts: &mut Vec<Action>) {
         let average = self.average();
         let mut key = None;
         if let Some(node) = self.fleet.get_mut(o.node) {
-            self.touched.insert(Some(node.entry.shard));
-            let Some(slot) = node.settle(now, (o.id, o.attempt)) else { return };
-            node.learn(now, &o, &slot, average, &mut self.pace);
-            key = slot.key;
+            self.changed.insert(Some(node.entry.shard));
+            let Some(booking) = node.remove_booking(now, (o.id, o.attempt)) else { return };
+            node.record_outcome(now, &o, &booking, average, &mut self.unit_time);
+            key = booking.key;
         }
-        if let Some(line) = key.as_ref().and_then(|k| self.lines.get_mut(k)) {
-            line.out = line.out.saturating_sub(1);
+        if let Some(queue) = key.as_ref().and_then(|k| self.key_queues.get_mut(k)) {
+            queue.in_flight = queue.in_flight.saturating_sub(1);
             if matches!(o.ending, Ending::TimedOut | Ending::Reset | Ending::Cancelled) {
-                line.rest_until = now + self.set.key_cooldown;
+                queue.paused_until = now + self.settings.key_cooldown;
             }
         }
-        self.judge(now, o.node, acts);
+        self.update_health(now, o.node, acts);
         let never_ran = {
             use Ending::*;
             matches!(o.ending, Full | Unreachable | NotSent | NoLink)
         };
         if let Some(request) = self.requests.get_mut(&o.id) {
-            request.out = request.out.saturating_sub(1);
-            request.not_sent += u32::from(o.ending == Ending::NoLink);
+            request.in_flight = request.in_flight.saturating_sub(1);
+            request.unsent += u32::from(o.ending == Ending::NoLink);
             let own = if o.ending == Ending::Served { request.units } else { 0.0 };
-            let set = &self.set;
-            let told = |_: &&mut Volume| set.reports_elsewhere || o.volume_use.is_some();
-            if let Some(volume) = self.volumes.get_mut(&request.volume).filter(told) {
+            let set = &self.settings;
+            let reported = |_: &&mut Volume| set.reports_elsewhere || o.volume_use.is_some();
+            if let Some(volume) = self.volumes.get_mut(&request.volume).filter(reported) {
                 volume.served.add(now, own, 1.0);
                 let mut other = o.served_elsewhere.max(0.0);
                 if !set.reports_elsewhere {
-                    // Only what all hosts together were served is told: what goes beyond this one's own.
-                    let rate = volume.served.faded(now).0 / MEMORY * SECOND as f64;
+                    // Nodes report only the total of all hosts: the units of other hosts are what exceeds
+                    // this host's own.
+                    let rate = volume.served.decayed(now).0 / DECAY_TIME_US * SECOND as f64;
                     let all = o.volume_use.unwrap_or(0.0) * set.plans[volume.plan].rate;
                     other = own * (all / rate.max(1e-9) - 1.0).max(0.0);
                 }
-                volume.own = volume.own * KEEP_PART + own;
-                volume.other = volume.other * KEEP_PART + other;
+                volume.own = volume.own * SERVED_DECAY + own;
+                volume.other = volume.other * SERVED_DECAY + other;
             }
-            // Whatever went before it never ran either, or that would be the first that may have.
-            if never_ran && request.maybe.is_some_and(|m| m.2 == o.attempt) {
-                request.maybe = None;
+            // No earlier attempt ran either, or it would be the one recorded here.
+            if never_ran && request.may_have_run.is_some_and(|m| m.2 == o.attempt) {
+                request.may_have_run = None;
             }
             if o.closed {
                 self.finish(now, o.id, acts);
-            } else if now + LAST_CALL >= self.requests[&o.id].due {
+            } else if now + ANSWER_MARGIN >= self.requests[&o.id].due {
                 self.give_up(now, o.id, Reason::OutOfTime, acts);
             } else {
-                // The gate asks again when there is room.
-                match self.may_repeat(now, &self.requests[&o.id], o.node) {
-                    // It would meet the same at once.
+                // `may_send` checks again when a node has capacity.
+                match self.may_retry(now, &self.requests[&o.id], o.node) {
+                    // An immediate retry would find no connection either.
                     true if o.ending == Ending::NoLink => {
-                        self.agenda.insert((now + SEND_AGAIN, Wake::Limit(o.id)));
+                        self.agenda.insert((now + RESEND_DELAY, AgendaEntry::Requeue(o.id)));
                     }
                     true => self.enqueue(o.id),
                     false => self.give_up(now, o.id, Reason::NotRepeatable, acts),
@@ -873,111 +930,119 @@
             }
         }
         if let Some(key) = key {
-            self.advance(now, &key);
+            self.advance_key(now, &key);
         }
     }
 
-    /// Answers a held request as soon as it has no hope left, from half of its time on, and any other when
-    /// its client gives up.
-    fn last_call(&mut self, now: Time, id: RequestId, acts: &mut Vec<Action>) {
+    /// Rejects a waiting request as soon as it can no longer be served in time, from [`RECHECK_FROM`] of its
+    /// time on, and a request with an attempt in flight at its deadline.
+    fn check_deadline(&mut self, now: Time, id: RequestId, acts: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
-        let last = request.due - LAST_CALL;
-        if now < last && (request.out > 0 || self.hopeful(now, request)) {
-            self.requests.entry(id).and_modify(|r| r.looked = true);
-            // The more wait, the more seldom each is looked at.
-            let rest = LOOK_AGAIN * (1 + (self.requests.len() / MOST_WAKES) as Time);
-            self.agenda.insert((last.min(now + rest), Wake::Due(id)));
-        } else if request.out > 0 && now < request.due {
-            self.agenda.insert((request.due, Wake::Due(id)));
+        let last = request.due - ANSWER_MARGIN;
+        if now < last && (request.in_flight > 0 || self.can_be_served(now, request)) {
+            self.requests.entry(id).and_modify(|r| r.rechecked = true);
+            // The more requests are open, the less often each is checked.
+            let interval = RECHECK_INTERVAL * (1 + (self.requests.len() / MAX_ENTRIES_PER_TURN) as Time);
+            self.agenda.insert((last.min(now + interval), AgendaEntry::Deadline(id)));
+        } else if request.in_flight > 0 && now < request.due {
+            self.agenda.insert((request.due, AgendaEntry::Deadline(id)));
         } else {
             self.give_up(now, id, Reason::OutOfTime, acts);
         }
     }
 
-    /// Whether a held request would still be served in time if it waited its turn at the best node for it.
-    fn hopeful(&self, now: Time, request: &Request) -> bool {
+    /// Whether a queued request would still be served in time at the best node for it, given the requests
+    /// ahead.
+    fn can_be_served(&self, now: Time, request: &Request) -> bool {
         let (Some(rank), Some(queue)) = (request.rank, self.queues.get(&request.shard)) else { return true };
         if self.suspended {
             return false;
         }
-        let (group, of) = match request.shard {
+        let (group, total) = match request.shard {
             Some(shard) => (self.fleet.holder(shard).into_iter().collect(), 1),
             None => (self.fleet.group(request.key.as_deref().unwrap_or("")), self.fleet.up()),
         };
-        // Where hosts outnumber nodes, waiting for one that nothing of this host is out at brings no news.
-        let few = self.fleet.up() >= self.set.hosts as usize;
-        let idle = |n: &&Node| few || !n.slots.is_empty() || self.room(now, n, request);
-        let fit = |n: &&Node| !n.unwell && self.cold_room(now, n, request) && idle(n);
-        let nodes: Vec<&Node> = group.iter().filter_map(|id| self.fleet.get(*id)).filter(fit).collect();
-        // The group stands for all nodes, which share what waits before this one.
-        let serving = (nodes.len() * of) as f64 / group.len().max(1) as f64;
+        // If hosts outnumber nodes, a node where this host has nothing in flight and finds no capacity does
+        // not count: without an answer from it, the estimate of this host does not change while the request
+        // waits.
+        let enough_nodes = self.fleet.up() >= self.settings.hosts as usize;
+        let answers =
+            |n: &&Node| enough_nodes || !n.bookings.is_empty() || self.has_capacity(now, n, request);
+        let usable = |n: &&Node| !n.unhealthy && self.has_cold_capacity(now, n, request) && answers(n);
+        let nodes: Vec<&Node> = group.iter().filter_map(|id| self.fleet.get(*id)).filter(usable).collect();
+        // The group is a sample of all nodes, which together serve the requests ahead of this one.
+        let serving = (nodes.len() * total) as f64 / group.len().max(1) as f64;
         let units = queue.units_before(&rank) / serving.max(1.0) + request.units;
-        let (average, hope) = (self.average(), if request.looked { 1.0 } else { HOPE });
-        let done = |n: &&Node| now + (n.per_unit(now, average) * (n.units_out + units) * hope) as Time;
+        let (average, factor) = (self.average(), if request.rechecked { 1.0 } else { FIRST_CHECK_FACTOR });
+        let done =
+            |n: &&Node| now + (n.time_per_unit(now, average) * (n.units_in_flight + units) * factor) as Time;
         nodes.iter().any(|n| done(n) <= request.due)
     }
 
-    /// Answers a request that would come too late, with the wait for what is queued before it as advice.
+    /// Rejects a request, with the estimated time to serve its whole queue as the retry-after time.
     fn give_up(&mut self, now: Time, id: RequestId, reason: Reason, acts: &mut Vec<Action>) {
         let shard = self.requests.get(&id).and_then(|r| r.shard);
-        let queued = self.queues.get(&shard).map_or(0, Waiting::len) as f64 * self.set.mean_units;
+        let queued = self.queues.get(&shard).map_or(0, RankedQueue::len) as f64 * self.settings.mean_units;
         let node = shard.and_then(|s| self.fleet.holder(s)).and_then(|n| self.fleet.get(n));
-        let per_unit = node.map_or(self.average(), |n| n.per_unit(now, self.average()));
-        self.answer(now, id, (queued * per_unit) as Time, reason, acts);
+        let time_per_unit = node.map_or(self.average(), |n| n.time_per_unit(now, self.average()));
+        self.reject(now, id, (queued * time_per_unit) as Time, reason, acts);
     }
 
-    /// The final answer of a request that will not be served: refused where that is true, else failed.
-    fn answer(&mut self, now: Time, id: RequestId, wait: Time, reason: Reason, acts: &mut Vec<Action>) {
+    /// Gives a request that will not be served its final answer: refused if a retry by the client is
+    /// harmless, else failed.
+    fn reject(&mut self, now: Time, id: RequestId, wait: Time, reason: Reason, acts: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
-        let effect = self.set.classes[request.class].effect;
+        let effect = self.settings.classes[request.class].effect;
         let harmless = matches!(effect, Effect::Safe | Effect::Keyed(Group::All));
-        acts.push(match harmless || request.maybe.is_none() {
-            true => Action::Refuse(id, wait.clamp(0, self.set.max_retry_after), reason),
+        acts.push(match harmless || request.may_have_run.is_none() {
+            true => Action::Refuse(id, wait.clamp(0, self.settings.max_retry_after), reason),
             false => Action::Fail(id, reason),
         });
         self.finish(now, id, acts);
     }
 
-    /// Forgets a request that has its final answer, and withdraws what nobody waits for any more.
+    /// Removes a request that has its final answer or whose client is gone, and cancels its attempts in
+    /// flight.
     fn finish(&mut self, now: Time, id: RequestId, acts: &mut Vec<Action>) {
         self.dequeue(id);
-        self.release(id);
+        self.stop_holding(id);
         let Some(request) = self.requests.remove(&id) else { return };
-        if request.out > 0 && self.set.cancel {
-            acts.extend((0..request.tries).map(|attempt| Action::Cancel(id, attempt)));
+        if request.in_flight > 0 && self.settings.cancel {
+            acts.extend((0..request.attempts).map(|attempt| Action::Cancel(id, attempt)));
         }
-        let Some(key) = request.key.filter(|_| self.set.classes[request.class].ordered) else { return };
-        if let Some(line) = self.lines.get_mut(&key) {
-            line.ids.retain(|i| *i != id);
+        let Some(key) = request.key.filter(|_| self.settings.classes[request.class].ordered) else { return };
+        if let Some(queue) = self.key_queues.get_mut(&key) {
+            queue.ids.retain(|i| *i != id);
         }
-        self.advance(now, &key);
+        self.advance_key(now, &key);
     }
 
     // ---- Health.
 
-    /// Mean time per unit over all nodes.
+    /// Returns the mean time per unit over all nodes.
     fn average(&self) -> f64 {
-        self.pace.waits / self.pace.depths
+        self.unit_time.sum / self.unit_time.weight
     }
 
-    /// Judges a node by its answers. Guards against hangs and cut links: an unwell node gets no new objects
-    /// and one trial at a time, until it answers again. One that returns errors is not shut out like that:
-    /// nobody else holds its shard, an error costs little and comes at once, and the next may be served.
-    fn judge(&mut self, now: Time, id: NodeId, acts: &mut Vec<Action>) {
+    /// Updates the health of a node. An unhealthy node, one that hangs or cannot be reached, gets no new
+    /// objects and one trial request per [`TRIAL_INTERVAL`] until it answers again. A node that returns
+    /// errors stays healthy: no other node holds its shard, an error is cheap and immediate, and the next
+    /// request may be served.
+    fn update_health(&mut self, now: Time, id: NodeId, acts: &mut Vec<Action>) {
         let average = self.average();
         let Some(node) = self.fleet.get_mut(id) else { return };
-        let silent = node.silent(now, average);
-        let unwell = silent || node.strikes >= STRIKES;
-        if unwell == node.unwell {
+        let silent = node.is_silent(now, average);
+        let unhealthy = silent || node.strikes >= STRIKE_LIMIT;
+        if unhealthy == node.unhealthy {
             return;
         }
-        node.unwell = unwell;
-        if unwell {
-            node.next_trial = now + TRIAL;
-            self.agenda.insert((node.next_trial, Wake::Pump));
+        node.unhealthy = unhealthy;
+        if unhealthy {
+            node.next_trial = now + TRIAL_INTERVAL;
+            self.agenda.insert((node.next_trial, AgendaEntry::Dispatch));
         }
         let state =
-            ["well again", "unwell: failing", "unwell: silent"][usize::from(unwell) + usize::from(silent)];
-        acts.push(Action::Log(format!("node {id} {state}, {} out", node.slots.len())));
+            ["well again", "unwell: failing", "unwell: silent"][usize::from(unhealthy) + usize::from(silent)];
+        acts.push(Action::Log(format!("node {id} {state}, {} out", node.bookings.len())));
     }
 }
--- a/src/rules/fleet.rs
+++ b/src/rules/fleet.rs
@@ -1,117 +1,119 @@
-//! The nodes that a scheduler knows, with an index for each question that it asks of all of them. Whatever
-//! is asked for one event looks at as many nodes as a key's group has, however many there are;
-//! [`Fleet::looks`] counts that.
+//! The nodes that a scheduler knows, with an index for each query over all of them. The work for one event is
+//! bounded by the size of a key's group and does not grow with the number of nodes; [`Fleet::inspections`]
+//! counts the nodes and ring points that are inspected.
 
 use super::node::Node;
 use crate::interface::{NodeEntry, NodeId, NodeState, ShardId, Time};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Nodes that the key of a new object picks by consistent hashing: twice the paper's negotiating group, since
-/// a host knows some of its members' queues only from the mean.
-pub(super) const GROUP: usize = 18;
-/// Places of each node on the ring. A node stands in so many groups as the arcs before its places are long;
-/// with 18 arcs each before 16 places that differs by about 6% among nodes.
-const PLACES: u32 = 16;
-/// Most places of the ring that are looked at for one group.
-const MOST_PLACES: usize = GROUP * PLACES as usize;
-
-/// All nodes that are remembered.
+/// Number of candidate nodes that consistent hashing gives for the key of a new object. It is twice the size
+/// of the negotiating group in the paper that the design follows, since for some members a host knows only
+/// the mean queue of all nodes.
+pub(super) const GROUP_SIZE: usize = 18;
+/// Number of points of each node on the hash ring. The number of groups that a node belongs to is
+/// proportional to the length of the arcs before its points; with 18 arcs before each of 16 points it differs
+/// by about 6% among nodes.
+const POINTS_PER_NODE: u32 = 16;
+/// Maximum number of ring points that are inspected for one group.
+const MAX_RING_POINTS: usize = GROUP_SIZE * POINTS_PER_NODE as usize;
+
+/// All known nodes and the indices over them.
 #[derive(Debug, Default)]
 pub(super) struct Fleet {
     nodes: BTreeMap<NodeId, Node>,
-    /// Nodes that take work, by the shard they hold; the one that started last is the last.
+    /// Nodes that accept work by the shard they hold, ordered by start time, latest last.
     holders: BTreeMap<ShardId, BTreeSet<(Option<Time>, NodeId)>>,
-    /// The same nodes on the ring.
+    /// Hash ring: the points of all nodes that accept work.
     ring: BTreeSet<(u64, NodeId)>,
-    /// The same nodes.
+    /// All nodes that accept work.
     up: BTreeSet<NodeId>,
-    /// Nodes that are not gone.
+    /// All nodes that are not gone.
     present: BTreeSet<NodeId>,
-    /// How many nodes have told each size.
+    /// Number of nodes by registered size, without nodes that state none.
     sizes: BTreeMap<u32, usize>,
-    looks: Cell<u64>,
+    inspections: Cell<u64>,
 }
 
 impl Fleet {
-    /// How many nodes are remembered.
+    /// Number of known nodes, including nodes that are gone and not yet forgotten.
     pub(super) fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// How many nodes take work.
+    /// Number of nodes that accept work.
     pub(super) fn up(&self) -> usize {
         self.up.len()
     }
 
-    /// Nodes that have been looked at so far, and places of the ring.
-    pub(super) fn looks(&self) -> u64 {
-        self.looks.get()
+    /// Number of nodes and ring points inspected so far.
+    pub(super) fn inspections(&self) -> u64 {
+        self.inspections.get()
     }
 
-    fn look(&self) {
-        self.looks.set(self.looks.get() + 1);
+    fn count_inspection(&self) {
+        self.inspections.set(self.inspections.get() + 1);
     }
 
-    /// A node.
     pub(super) fn get(&self, id: NodeId) -> Option<&Node> {
-        self.look();
+        self.count_inspection();
         self.nodes.get(&id)
     }
 
-    /// A node whose book is to change. Its entry changes only by [`Fleet::enter`].
+    /// Returns a node for changes of its book. Its entry may only be changed through [`Fleet::upsert`], which
+    /// maintains the indices.
     pub(super) fn get_mut(&mut self, id: NodeId) -> Option<&mut Node> {
-        self.look();
+        self.count_inspection();
         self.nodes.get_mut(&id)
     }
 
-    /// The node that holds a shard and takes work; of several the one that started last.
+    /// Returns the node that holds a shard and accepts work; if there are several, the one that started last.
     pub(super) fn holder(&self, shard: ShardId) -> Option<NodeId> {
-        self.look();
+        self.count_inspection();
         self.holders.get(&shard)?.last().map(|(_, node)| *node)
     }
 
-    /// The smallest size that any node has told, or 1.
-    pub(super) fn least_size(&self) -> u32 {
+    /// Returns the smallest registered size of any node, or 1 if no node states a size.
+    pub(super) fn min_size(&self) -> u32 {
         self.sizes.first_key_value().map_or(1, |(size, _)| *size)
     }
 
-    /// The nodes that a key may go to, in the order in which it prefers them: the same on all hosts,
-    /// whatever order their lists come in.
+    /// Returns the candidate nodes of a key in order of preference. The order is the same on all hosts,
+    /// regardless of the order of their node lists.
     pub(super) fn group(&self, key: &str) -> Vec<NodeId> {
-        let mut group: Vec<NodeId> = match self.up.len() <= GROUP {
+        let mut group: Vec<NodeId> = match self.up.len() <= GROUP_SIZE {
             true => self.up.iter().copied().collect(),
-            false => self.walk(hash(key, 0)),
+            false => self.walk_ring(hash(key, 0)),
         };
         group.sort_unstable_by_key(|node| (std::cmp::Reverse(hash(key, *node)), *node));
-        group.iter().for_each(|_| self.look());
+        group.iter().for_each(|_| self.count_inspection());
         group
     }
 
-    /// The first nodes on the ring from a place on.
-    fn walk(&self, start: u64) -> Vec<NodeId> {
-        let mut found = Vec::with_capacity(GROUP);
-        let places = self.ring.range((start, 0)..).chain(self.ring.range(..(start, 0)));
-        for (_, node) in places.take(MOST_PLACES) {
-            self.look();
+    /// Returns the first [`GROUP_SIZE`] different nodes on the ring from a point on.
+    fn walk_ring(&self, start: u64) -> Vec<NodeId> {
+        let mut found = Vec::with_capacity(GROUP_SIZE);
+        let points = self.ring.range((start, 0)..).chain(self.ring.range(..(start, 0)));
+        for (_, node) in points.take(MAX_RING_POINTS) {
+            self.count_inspection();
             if !found.contains(node) {
                 found.push(*node);
             }
-            if found.len() == GROUP {
+            if found.len() == GROUP_SIZE {
                 break;
             }
         }
         found
     }
 
-    /// Takes what a list says of a node, and gives the node with the entry that it had before; a node that
-    /// was not known starts with `fresh`.
-    pub(super) fn enter(
+    /// Stores the entry of a node and updates the indices. Returns the node with its previous entry; a node
+    /// that was not known is created with `fresh`.
+    pub(super) fn upsert(
         &mut self,
         entry: NodeEntry,
         fresh: impl FnOnce() -> Node,
     ) -> (&mut Node, Option<NodeEntry>) {
-        self.look();
+        self.count_inspection();
         let id = entry.node;
         let before = self.nodes.get(&id).map(|node| node.entry.clone());
         if before.as_ref() != Some(&entry) {
@@ -125,24 +127,25 @@
         (node, before)
     }
 
-    /// Nodes that are there and that a whole list does not name.
+    /// Returns the entries of all nodes that are not gone and are missing from a full list, given the nodes
+    /// it names.
     pub(super) fn missing(&self, named: &BTreeSet<NodeId>) -> Vec<NodeEntry> {
         let missing = self.present.difference(named);
         missing.filter_map(|id| self.get(*id)).map(|node| node.entry.clone()).collect()
     }
 
-    /// Forgets the nodes that are not to be kept.
+    /// Removes the nodes for which `keep` returns false.
     pub(super) fn retain(&mut self, keep: impl Fn(&Node) -> bool) {
-        self.looks.set(self.looks.get() + self.nodes.len() as u64);
-        let over: Vec<NodeId> = self.nodes.iter().filter(|(_, n)| !keep(n)).map(|(id, _)| *id).collect();
-        for id in over {
+        self.inspections.set(self.inspections.get() + self.nodes.len() as u64);
+        let removed: Vec<NodeId> = self.nodes.iter().filter(|(_, n)| !keep(n)).map(|(id, _)| *id).collect();
+        for id in removed {
             if let Some(node) = self.nodes.remove(&id) {
                 self.index(&node.entry, false);
             }
         }
     }
 
-    /// Puts an entry into the indices, or takes it out.
+    /// Adds an entry to the indices, or removes it if `present` is false.
     fn index(&mut self, entry: &NodeEntry, present: bool) {
         let id = entry.node;
         if entry.size > 0 {
@@ -166,7 +169,7 @@
             true => {
                 self.up.insert(id);
                 self.holders.entry(entry.shard).or_default().insert(holder);
-                self.ring.extend((0..PLACES).map(|place| (place_of(id, place), id)));
+                self.ring.extend((0..POINTS_PER_NODE).map(|point| (ring_point(id, point), id)));
             }
             false => {
                 self.up.remove(&id);
@@ -176,20 +179,20 @@
                         self.holders.remove(&entry.shard);
                     }
                 }
-                for place in 0..PLACES {
-                    self.ring.remove(&(place_of(id, place), id));
+                for point in 0..POINTS_PER_NODE {
+                    self.ring.remove(&(ring_point(id, point), id));
                 }
             }
         }
     }
 }
 
-/// Where on the ring a node has one of its places.
-fn place_of(node: NodeId, place: u32) -> u64 {
-    mix(mix((u64::from(node) << 32 | u64::from(place)).wrapping_add(0x9e37_79b9_7f4a_7c15)))
+/// Returns the position on the ring of one of a node's points.
+fn ring_point(node: NodeId, point: u32) -> u64 {
+    mix(mix((u64::from(node) << 32 | u64::from(point)).wrapping_add(0x9e37_79b9_7f4a_7c15)))
 }
 
-/// Hash of a key and a node: the same on all hosts.
+/// Hashes a key and a node with FNV-1a; the result is the same on all hosts.
 pub(super) fn hash(key: &str, node: NodeId) -> u64 {
     let mut h = 0xcbf2_9ce4_8422_2325_u64;
     for byte in key.bytes().chain(node.to_le_bytes()) {
@@ -198,7 +201,7 @@
     mix(h)
 }
 
-/// Spreads the bits of a number.
+/// Mixes the bits of a number, so that similar inputs give unrelated outputs.
 fn mix(mut h: u64) -> u64 {
     h ^= h >> 32;
     h = h.wrapping_mul(0xd6e8_feb8_6659_fd93);
--- a/src/rules/waiting/tests.rs
+++ b/src/rules/waiting/tests.rs
@@ -1,19 +1,19 @@
-//! The queue against a plain sorted set.
+//! Compares the queue with a plain sorted map.
 
 use super::*;
 use std::collections::BTreeMap;
 
 #[test]
-fn a_queue_tells_what_a_sorted_set_would() {
+fn queue_agrees_with_a_sorted_map() {
     let mut state = 1_u64;
     let mut draw = |bound: u64| {
         state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (state >> 33) % bound
     };
-    let (mut queue, mut plain) = (Waiting::default(), BTreeMap::new());
+    let (mut queue, mut plain) = (RankedQueue::default(), BTreeMap::new());
     for step in 0..20_000_u64 {
         let rank: Rank = (Reverse(draw(5)), draw(50) as Time, draw(40));
-        // It fills for a while and empties for a while.
+        // The queue grows for 4000 steps and then shrinks for 4000 steps, repeatedly.
         match draw(10) < if (step / 4_000) % 2 == 0 { 7 } else { 3 } {
             true if !plain.contains_key(&rank) => {
                 let units = 1.0 + draw(4) as f64;
@@ -32,5 +32,5 @@
         let before: f64 = plain.range(..rank).map(|(_, units)| units).sum();
         assert!((queue.units_before(&rank) - before).abs() < 1e-6, "step {step}");
     }
-    assert!(queue.blocks.iter().all(|b| !b.ranks.is_empty() && b.ranks.len() <= MOST_IN_BLOCK));
+    assert!(queue.blocks.iter().all(|b| !b.ranks.is_empty() && b.ranks.len() <= MAX_BLOCK_LEN));
 }
