--- a/src/bin/claywinch-drill/main.rs
+++ b/src/bin/claywinch-drill/main.rs
@@ -1,4 +1,5 @@
-//! Puts the scheduler on the simulator's wire: framing and names only. Decides nothing.
+//! Connects the scheduler to the simulator over standard input and output. It only translates messages; all
+//! decisions are made by the scheduler.
 #![forbid(unsafe_code)]
 
 mod wire;
@@ -16,7 +17,7 @@
     }
 }
 
-/// Answers batches until the input ends.
+/// Reads batches of messages and writes the reply to each, until the input ends.
 fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), String> {
     let mut host = wire::Host::default();
     let mut line = Vec::new();
--- a/src/bin/claywinch-drill/wire.rs
+++ b/src/bin/claywinch-drill/wire.rs
@@ -1,4 +1,4 @@
-//! The messages of the wire: reads events, names them as the scheduler does, writes its actions.
+//! The simulator's protocol: parses its messages into scheduler events and writes the scheduler's actions.
 
 use claywinch::interface::*;
 use claywinch::rules::Scheduler;
@@ -7,30 +7,31 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// One scheduler and the names its events use.
+/// One scheduler, with its start settings, which map names in messages to indices.
 struct Instance {
     scheduler: Scheduler,
     start: Start,
-    /// Its events of the batch that is being read.
+    /// Events for this scheduler in the current batch.
     events: Vec<Event>,
 }
 
-/// All schedulers of this process. They share nothing but the lists that the wire states once for all.
+/// All schedulers of this process. They share only the node lists, which the simulator sends once for all of
+/// them.
 #[derive(Default)]
 pub struct Host {
     now: Option<Time>,
-    /// A list that is being read: its number and how many entries are still to come.
+    /// The node list that is being read: its number and the number of entries still to come.
     open_list: Option<(u64, u64)>,
     lists: BTreeMap<u64, Vec<Vec<String>>>,
     instances: BTreeMap<String, Instance>,
     in_batch: bool,
-    /// Instances with events in this batch, in the order of their first.
+    /// Schedulers with events in the current batch, in the order of their first event.
     touched: Vec<String>,
     actions: Vec<Action>,
     reply: String,
 }
 
-/// The fields of one message, read in order.
+/// The tab-separated fields of one message, read in order.
 struct Fields<'a> {
     message: &'a str,
     parts: Vec<&'a str>,
@@ -53,27 +54,27 @@
             value => Ok(value),
         }
     }
-    fn whole(&mut self, name: &str, below: u64) -> Result<u64, String> {
+    fn integer(&mut self, name: &str, below: u64) -> Result<u64, String> {
         let value = self.raw(name)?;
         match value.parse::<u64>() {
             Ok(n) if n < below => Ok(n),
             _ => self.bad(name, value, &format!("a whole number below {below}")),
         }
     }
-    fn real(&mut self, name: &str) -> Result<f64, String> {
+    fn number(&mut self, name: &str) -> Result<f64, String> {
         let value = self.raw(name)?;
         match value.parse::<f64>() {
             Ok(n) if n.is_finite() && n.abs() < 1e12 => Ok(n),
             _ => self.bad(name, value, "a number in range"),
         }
     }
-    /// A number for which `-` stands for an absent one, which means 0.
-    fn real_or_0(&mut self, name: &str) -> Result<f64, String> {
+    /// Reads a number; `-` stands for an absent number and gives 0.
+    fn number_or_0(&mut self, name: &str) -> Result<f64, String> {
         if self.parts.get(self.next) == Some(&"-") {
             self.next += 1;
             return Ok(0.0);
         }
-        self.real(name)
+        self.number(name)
     }
     fn flag(&mut self, name: &str) -> Result<bool, String> {
         match self.raw(name)? {
@@ -82,10 +83,10 @@
             value => self.bad(name, value, "1 or 0"),
         }
     }
-    fn place(&mut self, name: &str, names: &[String]) -> Result<usize, String> {
+    fn index(&mut self, name: &str, names: &[String]) -> Result<usize, String> {
         let value = self.raw(name)?;
         match names.iter().position(|n| n == value) {
-            Some(place) => Ok(place),
+            Some(index) => Ok(index),
             None => self.bad(name, value, "one of the settings"),
         }
     }
@@ -102,7 +103,7 @@
             value => return self.bad("ending", value, "an ending"),
         })
     }
-    /// A load report; of its values the scheduler knows how busy the cores are.
+    /// Reads a load report and returns its CPU utilisation, the only value that the scheduler uses.
     fn util(&mut self) -> Result<Option<f64>, String> {
         let value = self.raw("server_stats")?;
         let mut util = None;
@@ -121,7 +122,7 @@
 }
 
 impl Host {
-    /// The input ended: fine between batches only.
+    /// Called when the input ends; returns an error if it ended inside a batch.
     pub fn at_end(&self) -> Result<(), String> {
         match self.in_batch {
             true => Err("the input ended inside a batch".to_string()),
@@ -129,14 +130,14 @@
         }
     }
 
-    /// Takes a line; gives the reply when it closed a batch.
+    /// Processes a line and returns the reply if the line ended a batch.
     pub fn line(&mut self, line: &str) -> Result<Option<String>, String> {
         let mut parts = line.split('\t');
         let message = parts.next().unwrap_or("");
         let mut f = Fields { message, parts: parts.collect(), next: 0 };
         if let Some((list, left)) = self.open_list {
             if message != "ITEM" {
-                return Err(format!("{message}: LEDGER {list} still lacks {left} ITEM lines"));
+                return Err(format!("{message}: expected {left} more ITEM lines of LEDGER {list}"));
             }
             let entry = f.parts.iter().map(|p| p.to_string()).collect();
             self.lists.entry(list).or_default().push(entry);
@@ -145,9 +146,9 @@
         }
         match (message, self.in_batch) {
             ("SYNC", false) => {
-                let now = micros(f.real("clock")?);
+                let now = micros(f.number("clock")?);
                 if self.now.is_some_and(|last| now < last) {
-                    return f.bad("clock", f.parts[0], "later than the last");
+                    return f.bad("clock", f.parts[0], "at or after the previous clock value");
                 }
                 self.now = Some(now);
                 self.in_batch = true;
@@ -159,7 +160,7 @@
                 return Ok(Some(std::mem::take(&mut self.reply)));
             }
             ("LEDGER", true) => {
-                let (list, entries) = (f.whole("roster_id", 16)?, f.whole("members_list", 1 << 32)?);
+                let (list, entries) = (f.integer("roster_id", 16)?, f.integer("members_list", 1 << 32)?);
                 self.lists.insert(list, Vec::new());
                 self.open_list = (entries > 0).then_some((list, entries));
             }
@@ -169,6 +170,7 @@
         Ok(None)
     }
 
+    /// Processes a message inside a batch, other than a node list.
     fn event(&mut self, f: &mut Fields) -> Result<(), String> {
         let now = self.now.unwrap_or(0);
         if ![
@@ -184,13 +186,13 @@
         .contains(&f.message)
         {
             return match f.message {
-                "OPENED" | "PEER_DATA" => Ok(()), // Streams and peers: the scheduler uses neither.
+                "OPENED" | "PEER_DATA" => Ok(()), // The scheduler uses neither streams nor peers.
                 _ => Err(format!("{}: unknown message", f.message)),
             };
         }
         let name = f.text("scheduler_id")?;
         if f.message == "LAUNCH" {
-            let seed = f.whole("salt", u64::MAX)?;
+            let seed = f.integer("salt", u64::MAX)?;
             let conf = f.parts[f.next.min(f.parts.len())..].join("\t");
             let start = settings::read(&conf).map_err(|e| format!("LAUNCH: {e}"))?;
             let scheduler =
@@ -211,14 +213,14 @@
             "MEMBERS" => members(f, &instance.start, &self.lists)?,
             "INBOUND" => inbound(f, &instance.start)?,
             "RESOLVED" => resolved(f)?,
-            "TIMED_OUT_CLIENT" => Event::ClientGone(f.whole("id", 1 << 52)?),
+            "TIMED_OUT_CLIENT" => Event::ClientGone(f.integer("id", 1 << 52)?),
             "ALARM" => {
-                f.whole("tag", 1 << 63)?;
+                f.integer("tag", 1 << 63)?;
                 Event::Timer
             }
             _ => {
-                let (ending, node) = (f.ending()?, f.whole("server", 1 << 32)? as NodeId);
-                f.real_or_0("wait_time_s")?;
+                let (ending, node) = (f.ending()?, f.integer("server", 1 << 32)? as NodeId);
+                f.number_or_0("wait_time_s")?;
                 Event::Probed(node, ending, f.util()?)
             }
         };
@@ -229,7 +231,7 @@
         Ok(())
     }
 
-    /// Hands each scheduler its events of the batch, all at once, and writes its actions.
+    /// Passes each scheduler its events of the batch in one call and appends its actions to the reply.
     fn decide(&mut self) {
         let now = self.now.unwrap_or(0);
         for name in std::mem::take(&mut self.touched) {
@@ -251,38 +253,38 @@
         value => return f.bad("how", value, "a way of discovery"),
     };
     f.raw("epoch")?;
-    let list = f.whole("roster_id", 16)?;
+    let list = f.integer("roster_id", 16)?;
     let Some(rows) = lists.get(&list) else {
         return f.bad("roster_id", &list.to_string(), "a list that was given");
     };
     let mut entries = Vec::with_capacity(rows.len());
     for row in rows {
         let mut f = Fields { message: "ITEM", parts: row.iter().map(String::as_str).collect(), next: 0 };
-        let node = f.whole("server", 1 << 32)? as NodeId;
-        let zone = f.place("failure_domain", &start.zones)? as u32;
+        let node = f.integer("server", 1 << 32)? as NodeId;
+        let zone = f.index("failure_domain", &start.zones)? as u32;
         f.text("machine")?;
-        let shard = f.whole("pod", 1 << 32)? as ShardId;
+        let shard = f.integer("pod", 1 << 32)? as ShardId;
         let state = match f.raw("stage_state")? {
             "in_service" => NodeState::Up,
             "terminating" => NodeState::Draining,
             "terminated" => NodeState::Gone,
             value => return f.bad("stage_state", value, "a state"),
         };
-        let size = Some(f.real_or_0("power_hint")?).filter(|_| start.sizes).map_or(0, thousandths);
-        let started = Some(f.real_or_0("last_start_s")?).filter(|s| *s > 0.0).map(micros);
+        let size = Some(f.number_or_0("power_hint")?).filter(|_| start.sizes).map_or(0, thousandths);
+        let started = Some(f.number_or_0("last_start_s")?).filter(|s| *s > 0.0).map(micros);
         entries.push(NodeEntry { node, zone, shard, state, started, size });
     }
     Ok(Event::Nodes(kind, entries))
 }
 
 fn inbound(f: &mut Fields, start: &Start) -> Result<Event, String> {
-    let id = f.whole("id", 1 << 52)?;
-    let class = f.place("band", &start.classes)?;
-    let plan = f.place("service_level", &start.plans)?;
+    let id = f.integer("id", 1 << 52)?;
+    let class = f.index("band", &start.classes)?;
+    let plan = f.index("service_level", &start.plans)?;
     let key = Some(f.text("region")?).filter(|k| *k != "-").map(str::to_string);
-    let due = micros(f.real("due_s")?);
+    let due = micros(f.number("due_s")?);
     let volume = f.text("disk")?.to_string();
-    let units = f.real_or_0("price_units")?;
+    let units = f.number_or_0("price_units")?;
     let shard = match f.raw("group_no")? {
         "-" | "-1" => None,
         value => match value.parse::<ShardId>() {
@@ -290,7 +292,7 @@
             Err(_) => return f.bad("group_no", value, "a shard or -1"),
         },
     };
-    let volume_hosts = f.whole("attached", 1 << 32)? as u32;
+    let volume_hosts = f.integer("attached", 1 << 32)? as u32;
     let repeat = f.flag("is_retry")?;
     f.flag("mutates")?;
     Ok(Event::Request(Arrival { id, class, plan, key, due, volume, units, shard, volume_hosts, repeat }))
@@ -298,14 +300,14 @@
 
 fn resolved(f: &mut Fields) -> Result<Event, String> {
     Ok(Event::Outcome(Outcome {
-        id: f.whole("id", 1 << 52)?,
-        attempt: f.whole("attempt", 1 << 32)? as u32,
+        id: f.integer("id", 1 << 52)?,
+        attempt: f.integer("attempt", 1 << 32)? as u32,
         ending: f.ending()?,
         closed: f.flag("closed")?,
-        served_elsewhere: f.real_or_0("from_others")?,
-        volume_use: Some(f.real_or_0("metered")?).filter(|v| *v >= 1.0).map(|v| (v - 1.0) / 100.0),
-        node: f.whole("server", 1 << 32)? as NodeId,
-        elapsed: micros(f.real_or_0("wait_time_s")?),
+        served_elsewhere: f.number_or_0("from_others")?,
+        volume_use: Some(f.number_or_0("metered")?).filter(|v| *v >= 1.0).map(|v| (v - 1.0) / 100.0),
+        node: f.integer("server", 1 << 32)? as NodeId,
+        elapsed: micros(f.number_or_0("wait_time_s")?),
         util: f.util()?,
     }))
 }
