--- a/src/bin/claywinch-drill/wire.rs
+++ b/src/bin/claywinch-drill/wire.rs
@@ -148,7 +148,7 @@
             ("SYNC", false) => {
                 let now = micros(f.number("clock")?);
                 if self.now.is_some_and(|last| now < last) {
-                    return f.bad("clock", f.parts[0], "at or after the previous clock value");
+                    return f.bad("clock", f.parts[0], "later than the last");
                 }
                 self.now = Some(now);
                 self.in_batch = true;
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter on hand-written frames.
+//! Tests of the simulator adapter `claywinch-drill` with hand-written messages.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -17,7 +17,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // It may stop reading at the first bad line.
+    // The adapter may stop reading at the first malformed line.
     let _ = child.stdin.take().expect("a pipe").write_all(input.as_bytes());
     child.wait_with_output().expect("the adapter ends")
 }
@@ -35,7 +35,7 @@
     format!("INBOUND\t{name}\t{id}\tc\tp\tkey\t12.5\tvol\t2\t{shard}\t1\t0\t0\n")
 }
 
-/// A batch at 10 s with one instance and what follows.
+/// A batch at 10 s that starts one instance and then contains `events`.
 fn batch(events: &str) -> String {
     format!("SYNC\t10\n{}{events}EOF_BATCH\n", launch("s_0"))
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,20 +1,20 @@
-//! Many schedulers driven in one test by handed-in time: what is asserted is the sum over the fleet.
+//! Drives many schedulers with simulated time and checks the totals over all hosts.
 
 mod common;
 use claywinch::interface::*;
 use common::*;
 
-/// As many hosts as the tests play. They have numbers of their own, by which they take turns at cold nodes.
+/// Number of simulated hosts. Each has its own index, by which hosts take turns at cold nodes.
 const HOSTS: u32 = 100;
 
 fn refused(acts: &[Action]) -> usize {
     acts.iter().filter(|a| matches!(a, Action::Refuse(..))).count()
 }
 
-/// Guards against requests that a cold node has no room for, and that many hosts hold until shortly before their
-/// clients give up, because the node's queue is short: they pay for the wait and are refused all the same.
+/// Guards against requests for a cold node without capacity that many hosts hold until shortly before the deadline,
+/// because the node's queue is short: clients wait and are refused all the same.
 #[test]
-fn what_a_cold_node_has_no_room_for_is_answered_by_half_of_its_time() {
+fn requests_beyond_the_capacity_of_a_cold_node_are_refused_within_half_of_their_time() {
     let (mut early, mut late, mut sent) = (0, 0, 0);
     for host in 0..HOSTS {
         let mut s = Drive::new(Settings { hosts: HOSTS, number: host, cold_units: 4.0, ..settings() });
@@ -32,23 +32,23 @@
     assert!(early > 50 && late <= sent, "{early} refused by half of their time, {late} later, {sent} sent");
 }
 
-/// Guards against late and spare work that is held until shortly before its client gives up, in the hope that an
-/// idle node turns quick: where hosts outnumber nodes, nothing that this host could learn from is out there.
+/// Guards against late and spare requests that are held until shortly before the deadline because an idle node might
+/// become fast: where hosts outnumber nodes, this host has no attempt in flight there from which it could learn that.
 #[test]
-fn work_without_room_at_an_idle_node_is_not_held_past_half_of_its_time_by_many_hosts() {
+fn requests_without_capacity_at_an_idle_node_are_not_held_past_half_of_their_time_by_many_hosts() {
     let play = |hosts: u32| {
         let mut set = Settings { hosts, ..settings() };
         (set.plans[0].limit, set.plans[0].weight) = (None, 0.0);
         let (mut early, mut late) = (0, 0);
         for host in 0..u64::from(hosts) {
             let mut s = Drive::new(Settings { number: host as u32, ..set.clone() });
-            // As many nodes as hosts have been replaced lately.
+            // As many nodes as there are hosts have been replaced recently.
             let old: Vec<(NodeId, ShardId)> = (1000..1100).map(|node| (node, 9)).collect();
             if hosts > 3 {
                 s.nodes(&old);
             }
             s.nodes(&[(1, 0), (2, 1), (3, 2), (4, 3)]);
-            // Each answer waits behind the work of others.
+            // Answers are slow, as if each attempt waited behind work of other hosts.
             for id in 0..4 {
                 s.request(ask(id));
                 s.wait(200_000);
@@ -62,12 +62,12 @@
         }
         (early, late)
     };
-    assert_eq!(play(HOSTS), (HOSTS as usize, 0), "all by half of their time");
-    assert_eq!(play(3), (0, 3), "few hosts hold it as long as there is hope");
+    assert_eq!(play(HOSTS), (HOSTS as usize, 0), "all hosts refuse within half of the time");
+    assert_eq!(play(3), (0, 3), "few hosts hold the request as long as it may be served in time");
 }
 
-/// Guards against a large node that gets, after its start, only what the smallest bears; and against more than both
-/// bear. The sizes are told by the list.
+/// Guards against a large node that gets only the load of the smallest node after its start, and against more load than
+/// either can take. The node list states the sizes.
 #[test]
 fn a_cold_node_of_twice_the_size_is_sent_about_twice_as_much_by_all_hosts() {
     let mut sum = [0.0_f64; 2];
@@ -83,7 +83,7 @@
         s.event(Event::Nodes(ListKind::Changes, list));
         for step in 0..100 {
             s.wait(100_000);
-            // Every second node that is asked for is warm, and each host asks in a rhythm of its own.
+            // Half of the requests go to warm nodes, and the hosts send at different times.
             if (step + host) % 10 == 0 {
                 let id = host * 1000 + step * 2;
                 let shard = Some(((step / 10 + host) % 4) as ShardId);
@@ -105,6 +105,6 @@
     }
     let ratio = sum[1] / sum[0];
     assert!((1.2..=2.5).contains(&ratio), "{sum:?} units in all, ratio {ratio}");
-    // Some 50 units are asked of each in its first window, and 12 and 24 are safe.
+    // About 50 units are requested of each node in its first window; the nodes can take 12 and 24.
     assert!(first[0] <= 12.0 && first[1] <= 24.0, "{first:?} units in the first window");
 }
--- a/tests/work.rs
+++ b/tests/work.rs
@@ -1,5 +1,5 @@
-//! What the scheduler looks at for one event, counted, not timed: the same at 200 nodes as at 3,200, whether they are warm
-//! or have just started, and bounded for a turn whatever waits.
+//! Bounds the work of the scheduler, counted in inspections instead of time: the work for one event must be the same with
+//! 200 nodes as with 3,200, whether the nodes are warm or cold, and the work of one turn must be bounded.
 
 mod common;
 
@@ -8,13 +8,13 @@
 use std::collections::BTreeSet;
 
 const S: Time = 1_000_000;
-/// Nodes of the usual fleet, and of a large one.
+/// Number of nodes of a usual fleet and of a large one.
 const SIZES: [u32; 2] = [200, 3_200];
-/// Hosts: so many that each may send a cold node only by turns.
+/// Number of hosts, large enough that each host may send to a cold node only in its turns.
 const HOSTS: u32 = 300;
-/// A node of a key's group is looked at a few times for one request, and finding the group takes some more.
+/// Maximum inspections for a request: a few for each node of the key's group, and some to find the group.
 const MOST_FOR_A_REQUEST: u64 = 200;
-/// Entries, heads and what is looked at for each: a turn takes no more of them than it has bounds for.
+/// Maximum inspections in a turn: the bounds on agenda entries and queue heads, times the inspections for each.
 const MOST_FOR_A_TURN: u64 = 3 * 256 * 100;
 
 fn fleet(size: u32, cold: bool) -> Drive {
@@ -30,14 +30,14 @@
     n * 7919 + 13
 }
 
-/// What each of these steps looked at, in the mean.
+/// Mean number of inspections per step of each kind.
 #[derive(Debug)]
 struct Work {
     new_object: u64,
     read: u64,
     answer: u64,
     change: u64,
-    /// Timers of one second with all of the above waiting.
+    /// Total of the timers of one second while all requests of the steps above wait.
     second_of_waiting: u64,
     worst_turn: u64,
 }
@@ -109,14 +109,14 @@
         for (what, usual, large) in pairs {
             assert!(large <= usual + usual / 4 + 16, "{what}, cold {cold}: {usual} at 200, {large} at 3,200");
         }
-        // Those that wait for a cold node are looked at in each turn, up to the bound of a turn.
+        // Requests that wait for a cold node are inspected in each turn, up to the bound of a turn.
         assert!(cold || large.new_object <= MOST_FOR_A_REQUEST, "{large:?}");
         assert!(large.worst_turn <= MOST_FOR_A_TURN, "{large:?}");
     }
 }
 
-/// Guards against a flood that makes one turn as long as the flood: what waits is looked at in parts, and nothing of it is
-/// left without its final answer.
+/// Guards against a burst of requests that makes one turn as long as the burst: each turn inspects only a part of the
+/// waiting requests, and every request still gets its final answer.
 #[test]
 fn a_turn_is_bounded_whatever_waits_and_every_request_is_answered() {
     const FLOOD: u64 = 6_000;
@@ -155,5 +155,5 @@
     }
     println!("worst turn {worst}, {} answered or sent of {FLOOD}", answered.len());
     assert!(worst <= MOST_FOR_A_TURN, "{worst}");
-    assert_eq!(answered.len(), FLOOD as usize, "by the time of the last");
+    assert_eq!(answered.len(), FLOOD as usize, "requests answered or sent when all deadlines have passed");
 }
