--- a/src/run/active_settings.rs
+++ b/src/run/active_settings.rs
@@ -1,5 +1,5 @@
-//! Takes new settings while requests are open under old ones: finds places for classes and plans, and the settings of
-//! the scheduler with all that is still in use in its place.
+//! Applies new settings while requests are open under old ones. Assigns indices to classes, plans and zones, and builds the
+//! scheduler's settings, in which everything that is still in use keeps its index.
 
 use super::settings::Start;
 use crate::interface::{Plan, Settings};
@@ -8,36 +8,37 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What stands at a place.
+/// The class at an index, or `None` if the index is free.
 type Held = Option<Rc<Indexed<ClassSchema>>>;
 
-/// Most plans that a process ever knows. Volumes that stood on one are remembered for a while after it was dropped, so
-/// its place is not given away.
+/// Largest number of plans over the life of a process. Volumes of a removed plan are remembered for a while, so the index of a
+/// plan is not reused.
 const MOST_PLANS: usize = 256;
-/// Most zones that a process ever knows: nodes of a dropped one are listed for a while.
+/// Largest number of zones over the life of a process. Nodes of a removed zone stay listed for a while, so its index is not
+/// reused.
 const MOST_ZONES: usize = 256;
 
-/// What the settings in force are made of.
+/// The settings in force, with the indices of classes, plans and zones.
 #[derive(Default)]
 pub struct ActiveSettings {
     classes: StableIndices<ClassSchema>,
-    /// Every plan that there was, by place.
+    /// Every plan since the start, by index.
     plans: Vec<(String, Plan)>,
-    /// Every zone that there was, by place.
+    /// Every zone since the start, by index.
     zones: Vec<String>,
     settings: Option<Settings>,
-    /// Which classes of the settings in force write, where that is known.
+    /// Whether the classes of the settings in force write, by class name, where that is known.
     writes: BTreeMap<String, bool>,
 }
 
 impl ActiveSettings {
-    /// Takes settings that were read whole. Nothing has changed if they can't be used.
+    /// Puts settings into force. Invalid settings change nothing.
     pub fn take(&mut self, start: Start) -> Result<RequestSchema, String> {
         start.settings.validate().map_err(|e| e.to_string())?;
         let writes = self.writes_of(&start);
         let mut plans = self.plans.clone();
         for (_, plan) in &mut plans {
-            // One that is dropped has no part in what the others share; a limit binds whoever still waits for it.
+            // A removed plan has no share of the capacity. Its limit stays in force for requests that still wait under it.
             (plan.rate, plan.reserve, plan.weight) = (0.0, 0.0, 0.0);
         }
         let mut of_plan = Vec::with_capacity(start.plans.len());
@@ -79,22 +80,22 @@
         Ok(terms)
     }
 
-    /// Which classes write. The settings tell it by place in a list of its own; where that does not fit what is known
-    /// of a class by its name, it was left as it was while classes came or went, and tells nothing of new ones.
+    /// Returns which classes write. The settings state it in a separate list, by position. If that list contradicts what is
+    /// known of a class by name, it was not updated when classes were added or removed, and is not used for new classes.
     fn writes_of(&self, start: &Start) -> BTreeMap<String, bool> {
-        let told = |place: usize| start.writes.get(place).copied().flatten();
+        let listed = |place: usize| start.writes.get(place).copied().flatten();
         let known = |name: &String| self.writes.get(name).copied();
         let mut names = start.classes.iter().enumerate();
         let fits = start.writes.len() == start.classes.len()
-            && names.all(|(place, name)| known(name).is_none_or(|writes| told(place) == Some(writes)));
+            && names.all(|(place, name)| known(name).is_none_or(|writes| listed(place) == Some(writes)));
         let of_class = |(place, name): (usize, &String)| {
-            Some((name.clone(), known(name).or(told(place).filter(|_| fits))?))
+            Some((name.clone(), known(name).or(listed(place).filter(|_| fits))?))
         };
         start.classes.iter().enumerate().filter_map(of_class).collect()
     }
 
-    /// The settings for the scheduler: a class that is dropped but open stands in its place, and a free place holds
-    /// another's copy, which nothing names.
+    /// Returns the settings for the scheduler. A removed class with open requests keeps its index, and a free index holds a
+    /// copy of another class, which no request names.
     pub fn settings(&self) -> Option<Settings> {
         let stands = self.classes.all();
         let any = stands.iter().flatten().next()?.value.class.clone();
@@ -104,12 +105,12 @@
         Some(Settings { classes, plans, ..self.settings.clone()? })
     }
 
-    /// How many places of classes are in use.
+    /// Returns the number of class indices in use, including removed classes with open requests.
     pub fn classes_in_use(&self) -> usize {
         self.classes.all().iter().flatten().count()
     }
 
-    /// The zones by place.
+    /// Returns the zones by index.
     pub fn zones(&self) -> Vec<String> {
         self.zones.clone()
     }
@@ -145,8 +146,8 @@
         terms.classes.iter().map(|c| (c.value.name.clone(), c.index, c.value.writes)).collect()
     }
 
-    /// Guards against a request whose class becomes another beneath it, and against a list of writing classes that
-    /// was left as it was while classes came and went.
+    /// Guards against a reload that changes the class of an open request, and against a list of writing classes that was not
+    /// updated when classes were added or removed.
     #[test]
     fn a_class_that_is_open_stays_in_its_place_as_it_was() {
         let mut active = ActiveSettings::default();
@@ -160,13 +161,13 @@
         let names = |text: &str| text.to_string();
         assert_eq!(places(&second), [(names("put"), 0, Some(true)), (names("scan"), 2, None)]);
         let classes = active.settings().expect("settings").classes;
-        assert_eq!(classes[1], open.value.class, "still open as it was taken");
+        assert_eq!(classes[1], open.value.class, "an open request keeps its class");
         assert_ne!(classes[0], classes[1]);
         assert_eq!(active.classes_in_use(), 3);
         drop(open);
         assert_eq!(active.classes_in_use(), 2);
         let classes = active.settings().expect("settings").classes;
-        assert_eq!(classes[1], classes[0], "nothing is left of it");
+        assert_eq!(classes[1], classes[0], "the removed class is gone");
     }
 
     #[test]
@@ -182,13 +183,10 @@
             let _ = active.take(start(&read, "[false]", &["iron", &format!("p{i}")]));
         }
         assert!(active.plans.len() <= MOST_PLANS);
-        assert!(
-            active.take(start(&read, "[false]", &["iron"])).is_ok(),
-            "one that was refused changed nothing"
-        );
+        assert!(active.take(start(&read, "[false]", &["iron"])).is_ok(), "rejected settings change nothing");
     }
 
-    /// Guards against what many reloads leave behind.
+    /// Guards against unbounded growth of the zone list over many reloads.
     #[test]
     fn zones_keep_their_places_and_are_bounded() {
         let mut active = ActiveSettings::default();
--- a/src/run/config.rs
+++ b/src/run/config.rs
@@ -1,4 +1,4 @@
-//! What a broker is told at its start: the environment and the file it names.
+//! The configuration of a broker: environment variables and the configuration file that they name.
 
 use super::cluster;
 use super::settings::{self, Start};
@@ -7,51 +7,51 @@
 use serde_json::Value;
 use std::path::PathBuf;
 
-/// Where the NBD front's file is, from the root of the repository.
+/// Default path of the NBD front's configuration, relative to the root of the repository.
 const NBD_FILE: &str = "deploy/nbd.toml";
 
-/// A configuration that cannot be used.
+/// The errors of an invalid configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// A variable is missing.
+    /// A required environment variable is not set.
     #[error("{0} is not set")]
     Missing(&'static str),
-    /// A variable should be a number.
+    /// An environment variable does not name a descriptor.
     #[error("{0} is {1}, not the number of a descriptor")]
     Number(&'static str, String),
-    /// The cluster's file.
+    /// The cluster's configuration file is invalid.
     #[error("{0}")]
     Cluster(String),
     /// A file could not be read.
     #[error("{path}: {error}")]
     File {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What reading it said.
+        /// The error of reading it.
         error: std::io::Error,
     },
-    /// A file holds something else than it should.
+    /// A file has invalid content.
     #[error("{path}: {reason}")]
     Content {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong.
+        /// What is invalid, with the path of the key.
         reason: String,
     },
 }
 
-/// Limits of the deployment.
+/// Resource limits of the deployment.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(default)]
 pub struct Bounds {
-    /// Memory of all processes.
+    /// Memory of all processes of the broker, in MiB.
     pub memory_mb: usize,
-    /// Descriptors of all processes.
+    /// Descriptors of all processes of the broker.
     pub sockets: usize,
 }
 
 impl Default for Bounds {
-    /// The least that the platform gives.
+    /// The smallest limits that the platform sets.
     fn default() -> Self {
         Bounds { memory_mb: 192, sockets: 1024 }
     }
@@ -71,43 +71,43 @@
     settings: Value,
 }
 
-/// All that a broker is told.
+/// The complete configuration of a broker.
 pub struct Config {
-    /// The file that most of it was read from.
+    /// Path of the configuration file.
     pub path: String,
-    /// Its name.
+    /// Name of the broker.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which the broker listens for clients.
     pub listen: String,
-    /// Where discovery is.
+    /// Address of the discovery service.
     pub discovery: String,
-    /// Where the operators' calls come, if anywhere.
+    /// Address on which the broker listens for operators' calls, if configured.
     pub admin: Option<String>,
-    /// Folder in which a process finds what the one before it left.
+    /// Folder of the hand-over file, through which a process passes its state to its successor.
     pub folder: Option<PathBuf>,
-    /// For random numbers; new at each start.
+    /// Seed of the random numbers; different at each start.
     pub seed: u64,
-    /// Limits of the deployment.
+    /// Resource limits of the deployment.
     pub limits: Bounds,
-    /// The list of nodes as it was last had.
+    /// The last known list of nodes.
     pub known: Option<Listing>,
-    /// Settings of the scheduler and names.
+    /// The scheduler's settings, and the names used in them.
     pub start: Start,
-    /// The same as they stand in the file.
+    /// The settings as JSON, as in the file.
     pub text: Value,
-    /// The file that says what the NBD front serves.
+    /// Path of the NBD front's configuration.
     pub nbd_file: String,
     /// The cluster that this broker belongs to, if any.
     pub cluster: Option<cluster::File>,
 }
 
-/// Reads a whole file as text.
+/// Reads a file as text.
 pub fn read_file(path: &str) -> Result<String, ConfigError> {
     std::fs::read_to_string(path).map_err(|error| ConfigError::File { path: path.to_string(), error })
 }
 
 impl File {
-    /// Reads the file, and the settings in it.
+    /// Reads the file and parses the settings in it.
     fn read(path: &str) -> Result<(Self, Start), ConfigError> {
         let content = |reason: String| ConfigError::Content { path: path.to_string(), reason };
         let file: File = serde_json::from_str(&read_file(path)?).map_err(|e| content(e.to_string()))?;
@@ -116,18 +116,18 @@
     }
 }
 
-/// What may change while the broker runs.
+/// The part of the configuration that may change while the broker runs.
 pub struct Reread {
-    /// Where discovery is, if the file says so.
+    /// Address of the discovery service, if the file names one.
     pub discovery: Option<String>,
     /// The settings.
     pub start: Start,
-    /// The same as they stand in the file.
+    /// The settings as JSON, as in the file.
     pub text: Value,
 }
 
-/// Reads the file anew; `before` are the settings in force. The file must be whole: of half a file nothing is taken.
-/// Here it comes before the environment, which cannot be changed from outside.
+/// Reads the file again; `before` are the settings in force. A file that lacks one of their keys is rejected as incomplete.
+/// On a reload the file takes precedence over the environment, which cannot change while the process runs.
 pub fn reread(path: &str, before: &Value) -> Result<Reread, ConfigError> {
     let (file, start) = File::read(path)?;
     if let Some(key) = settings::missing(before, &file.settings) {
@@ -137,7 +137,7 @@
 }
 
 impl Config {
-    /// Reads the environment, whose variables come before what the file says.
+    /// Reads the environment and the configuration file. Environment variables take precedence over the file.
     pub fn from_env(var: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let path = var("RELAY_CONFIG").ok_or(ConfigError::Missing("RELAY_CONFIG"))?;
         let (file, start) = File::read(&path)?;
--- a/src/run/error.rs
+++ b/src/run/error.rs
@@ -1,36 +1,36 @@
-//! Why a broker does not start, or does not go on.
+//! The errors with which a broker fails to start or to continue.
 
 use super::cluster::StoreError;
 use super::config::ConfigError;
 use crate::interface::SettingsError;
 use crate::state::agreement::AgreementError;
 
-/// Why a broker could not start or go on.
+/// An error with which a broker fails to start or to continue.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// Its configuration.
+    /// The configuration is missing or invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The scheduler's settings.
+    /// The scheduler rejects the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The agreement with peers.
+    /// The agreement with the peers failed.
     #[error(transparent)]
     Agreement(#[from] AgreementError),
-    /// What a voter of a cluster keeps.
+    /// The store of a cluster voter is not usable.
     #[error("{path}: {error}")]
     Store {
-        /// The file.
+        /// Path of the store.
         path: String,
-        /// What is wrong with it.
+        /// The error of the store.
         error: StoreError,
     },
-    /// A socket or a signal.
+    /// A system call for a socket or a signal failed.
     #[error("{what}: {error}")]
     Io {
-        /// What was tried.
+        /// The operation that failed.
         what: String,
-        /// What came of it.
+        /// The error of the system call.
         error: std::io::Error,
     },
 }
--- a/src/run/logging.rs
+++ b/src/run/logging.rs
@@ -1,19 +1,19 @@
-//! The log: lines are written by a thread of their own, so that a reader that falls behind holds up no answer.
+//! Sets up the log. A separate thread writes the lines, so that a slow reader of the log does not delay answers.
 
 use std::sync::mpsc::channel;
 use std::time::Duration;
 use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
-/// Lines that may wait to be written; those beyond are lost. Those that wait count as memory.
+/// Number of lines that may wait to be written. Further lines are dropped, which bounds the memory of the queue.
 const LINES: usize = 4096;
-/// How long the end of the process waits for the last lines to be written.
+/// How long the process waits at its end for the last lines to be written.
 const FLUSH: Duration = Duration::from_millis(100);
 
-/// The log for as long as this lives.
+/// Keeps the log running; dropping it flushes the log.
 pub struct Logging(Option<WorkerGuard>);
 
-/// Starts the log on standard error. The variable `CLAYWINCH_LOG` says what it tells.
+/// Starts the log on standard error. The environment variable `CLAYWINCH_LOG` sets the filter.
 pub fn start() -> Logging {
     let filter = EnvFilter::try_from_env("CLAYWINCH_LOG").unwrap_or_else(|_| EnvFilter::new("info"));
     let (log, guard) = NonBlockingBuilder::default().buffered_lines_limit(LINES).finish(std::io::stderr());
@@ -22,13 +22,14 @@
 }
 
 impl Drop for Logging {
-    /// Writes what waits, unless nobody reads it: the guard itself would wait for a second and more.
+    /// Writes the waiting lines, but gives up after [`FLUSH`] if nobody reads them: the guard alone would wait for more than a
+    /// second.
     fn drop(&mut self) {
         let Some(guard) = self.0.take() else { return };
         let (done, flushed) = channel();
         std::thread::spawn(move || {
             drop(guard);
-            // Whoever has stopped waiting need not be told.
+            // The receiver may have stopped waiting.
             let _ = done.send(());
         });
         let _ = flushed.recv_timeout(FLUSH);
--- a/src/run/start.rs
+++ b/src/run/start.rs
@@ -1,4 +1,4 @@
-//! Puts the broker together, serves until it is told to stop, and sees everything answered before it ends.
+//! Assembles the broker, serves until a stop signal, and answers all accepted requests before it ends.
 
 use super::active_settings::ActiveSettings;
 use super::catalogue::Deploy;
@@ -46,9 +46,10 @@
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::sync::watch;
 
-/// How long a process that comes second waits for its part of the limits before it serves without one.
+/// How long a process that starts alongside another one waits for its part of the limits before it serves without one.
 const PART: Duration = Duration::from_millis(2_500);
-/// Leaves the cluster with LEAVE, and comes back with JOIN.
+
+/// Leaves the cluster when an operator calls LEAVE, and rejoins it at JOIN.
 async fn follow_phase(cluster: Cluster, mut phases: watch::Receiver<Phase>) {
     let leaves = |phase: &Phase| matches!(phase, Phase::Leaving(..));
     let mut left = false;
@@ -63,7 +64,7 @@
 /// Runs a broker until it has stopped; `passed` is the clients' listening socket where the platform holds it. Must
 /// run inside a [`tokio::task::LocalSet`].
 pub async fn run(config: Config, passed: Option<std::net::TcpListener>) -> Result<(), StartError> {
-    // Signals first: one that comes before its handler ends the program.
+    // The signal handlers come first: a signal without a handler would end the process.
     let mut term = signal(SignalKind::terminate()).map_err(io("SIGTERM"))?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(io("SIGINT"))?;
     let hangup = signal(SignalKind::hangup()).map_err(io("SIGHUP"))?;
@@ -82,13 +83,13 @@
     let loop_clock = LoopClock::new(clock);
     tokio::task::spawn_local(loop_clock.clone().run());
 
-    // What the process before this one has left, if it may still be running, too.
+    // Reads the state that the previous process left; that process may still be running.
     let name = format!("claywinch-{}.handover", config.name.replace(['/', '\\', '.'], "_"));
     let file = config.folder.filter(|_| passed.is_some() || config.admin.is_some()).map(|f| f.join(name));
     let id = config.seed ^ u64::from(std::process::id()).rotate_left(32);
     let (left, another_lives) = file.as_deref().map_or((None, false), |path| folder::inherit(path, id));
     let beside = passed.is_some() && another_lives;
-    // What the other process holds is not known yet.
+    // How many descriptors the other process holds is not known yet, so this process starts with half of them.
     let (own_limits, _) = share(if beside { deployed.sockets / 2 } else { deployed.sockets });
     let most = Rc::new(Cell::new(own_limits.clients));
     let pool = PoolLimits { links: own_limits.links, links_per_node: 40, terms: bounds.links() };
@@ -106,7 +107,7 @@
     let mut numbers = NodeNumbers::default();
     let mut maintenance = Maintenance::default();
     let revision = Rc::new(Cell::new(config.known.as_ref().map_or(0, |known| known.revision)));
-    // The list last had comes first of all, before any request.
+    // The last known list of nodes is applied first, before any request.
     let mut known = config.known.map(|known| known.into_listed(&mut numbers, &zones.borrow()));
     if let Some(left) = left {
         tracing::info!(
@@ -122,7 +123,7 @@
         maintenance.merge(clock.now(), left.bans);
     }
     if file.is_some() {
-        // Until its part of the limits is on record: another process may spend by all of them.
+        // This process has no part of the limits until its part is recorded: another process may be using all of them.
         let _ = own.send(Input::LimitShare(0.0));
     }
     let (mut known, mut starts) = (known.unwrap_or_default(), StartTimes::new(clock.now()));
@@ -135,9 +136,9 @@
     let maintenance = Rc::new(RefCell::new(maintenance));
     let budget = BufferBudget::new(limits.room);
     let connect_timeout = Rc::new(Cell::new(bounds.connect()));
-    // Slow clients of large values must not use up the room of small requests.
+    // Streamed replies have a budget of their own, so that slow clients of large values do not use up that of small requests.
     let windows = BufferBudget::new(limits.windows);
-    // A broker of a cluster sends nothing before its first lease.
+    // A broker of a cluster that needs a lease sends nothing before its first lease.
     let bound = config.cluster.as_ref().is_some_and(|file| file.without_lease == WithoutLease::Stop);
     let lease = Rc::new(Cell::new(if bound { Time::MIN } else { Time::MAX }));
     let permit: Permit = Rc::new(SendDeadlines { lease, list: Cell::new(Time::MAX) });
@@ -187,7 +188,7 @@
     tokio::task::spawn_local(watcher.run());
 
     let inherited = passed.is_some();
-    // Nothing that may block comes after this: whoever connects is owed an answer from here on.
+    // Nothing after this may block: from here on, clients that connect expect an answer.
     let lock = file.as_deref().and_then(|path| folder::live(path, id));
     let front = Front {
         listener: match passed {
@@ -255,7 +256,7 @@
         None => None,
         Some(deploy) => {
             let phase = phases.clone();
-            // Its nodes stand in a file: what discovery may have told does not concern them.
+            // The NBD nodes are listed in a file, so the age of discovery's list does not limit sending to them.
             let list = Cell::new(Time::MAX);
             let permit = Rc::new(SendDeadlines { lease: permit.lease.clone(), list });
             let loop_clock = loop_clock.clone();
@@ -319,7 +320,7 @@
         _ = interrupt.recv() => {}
     }
     if let Some(cluster) = cluster {
-        // Beside the last answers, not before them.
+        // Leaving the cluster runs concurrently with the last answers.
         tokio::task::spawn_local(async move { cluster.leave().await });
     }
     shutdown.run().await;
