--- a/src/run/folder.rs
+++ b/src/run/folder.rs
@@ -1,7 +1,7 @@
-//! The files in the folder that processes of one broker share. All of it may block for as long as the folder does, so it
-//! runs on threads of its own once the broker serves: [`run_blocking`].
+//! Reads and writes the files in the folder that the processes of one broker share. These operations block if the file system
+//! is slow, so once the broker serves they run on separate threads, see [`run_blocking`].
 //!
-//! The hand-over file is written aside and renamed into place, so a reader finds a whole one or none.
+//! The hand-over file is written under a temporary name and renamed into place, so a reader finds a complete file or none.
 
 use crate::state::handover::{Handover, Process, MAX_BYTES};
 use std::collections::BTreeSet;
@@ -11,37 +11,37 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How often a lock is asked for that another process holds.
-const LOCK_AGAIN: Duration = Duration::from_millis(10);
-/// How often it is asked for at most before writing is put off.
-const TRIES: usize = 30;
+/// Interval of the attempts to take a lock that another process holds.
+const LOCK_RETRY: Duration = Duration::from_millis(10);
+/// Largest number of attempts to take the lock before writing is postponed.
+const MAX_LOCK_ATTEMPTS: usize = 30;
 
-/// Runs what may block on a thread of its own. Nothing comes of it if it panics or the runtime ends.
+/// Runs blocking work on a separate thread. Returns `None` if the work panics or the runtime ends.
 pub async fn run_blocking<T: Send + 'static>(work: impl FnOnce() -> T + Send + 'static) -> Option<T> {
     tokio::task::spawn_blocking(work).await.ok()
 }
 
-/// What tells one file from the next in its place: its number, and when it was last written.
-pub type Place = (u64, i64, i64);
+/// Identifies a version of a file: its inode number and its modification time in seconds and nanoseconds.
+pub type FileVersion = (u64, i64, i64);
 
-/// The file in its place, if there is one.
-pub fn place(path: &Path) -> Option<Place> {
+/// Returns the version of the file at a path, if it exists.
+pub fn file_version(path: &Path) -> Option<FileVersion> {
     std::fs::metadata(path).ok().map(|m| (m.ino(), m.mtime(), m.mtime_nsec()))
 }
 
-/// What a look at the file has shown.
+/// The result of checking the hand-over file.
 #[derive(Debug, Default)]
-pub struct Sight {
-    /// The file that stands there.
-    pub place: Option<Place>,
-    /// What it holds, if it was read. An error says nothing of that: other processes may stand there.
+pub struct FileState {
+    /// The version of the file, if it exists.
+    pub place: Option<FileVersion>,
+    /// Its content, if it was read. After an error the content is unknown: the file may list other processes.
     pub content: Option<Result<Handover, Error>>,
-    /// Those of its processes that live, without the one that looks.
+    /// The processes listed in the file that are alive, without the calling one.
     pub living: BTreeSet<u64>,
 }
 
-impl Sight {
-    /// What the file holds; nothing where it was not read or could not be.
+impl FileState {
+    /// Returns the content of the file, or an empty one if the file was not read or reading failed.
     pub fn handover(&self) -> Handover {
         match &self.content {
             Some(Ok(handover)) => handover.clone(),
@@ -50,16 +50,16 @@
     }
 }
 
-/// What the file holds for a process `own` that starts, and whether another one that stands there lives. One that was killed
-/// has left it, too, and is not waited for.
+/// Reads the file for the process `own` that starts. Returns its content, and whether another process listed in it is alive. A
+/// process that was killed is still listed, but it is not waited for.
 pub fn inherit(path: &Path, own: u64) -> (Option<Handover>, bool) {
     let left = read(path);
-    let lives = |p: &Process| p.id != own && (!p.locks || lives(path, p.id));
+    let lives = |p: &Process| p.id != own && (!p.locks || is_alive(path, p.id));
     let beside = left.as_ref().is_some_and(|left| left.processes.iter().any(lives));
     (left, beside)
 }
 
-/// Reads the file. Whatever is wrong with it, the broker starts without it, and says so.
+/// Reads the file. If it cannot be read, this is logged and the broker starts without it.
 pub fn read(path: &Path) -> Option<Handover> {
     read_whole(path).unwrap_or_else(|error| {
         tracing::warn!(path = %path.display(), %error, "hand-over not read");
@@ -67,7 +67,8 @@
     })
 }
 
-/// Reads the file, if there is one that is whole. An error says nothing of what it holds: other processes may stand there.
+/// Reads the file. Returns `None` if it does not exist or is invalid. After an error its content is unknown: it may list other
+/// processes.
 fn read_whole(path: &Path) -> std::io::Result<Option<Handover>> {
     let mut text = Vec::new();
     match File::open(path) {
@@ -82,135 +83,138 @@
     Ok(read.ok())
 }
 
-/// Looks at the file for the process `own`. It is read if another one stands in its place than `before`, or `always`.
-pub fn look(path: &Path, own: u64, before: Option<Place>, always: bool) -> Sight {
-    let place = place(path);
+/// Checks the file for the process `own`. Reads it if its version differs from `before`, or if `always` is set.
+pub fn check(path: &Path, own: u64, before: Option<FileVersion>, always: bool) -> FileState {
+    let place = file_version(path);
     match place != before || always {
-        true => Sight { place, ..sight(path, own) },
-        false => Sight { place, ..Sight::default() },
+        true => FileState { place, ..read_state(path, own) },
+        false => FileState { place, ..FileState::default() },
     }
 }
 
-fn sight(path: &Path, own: u64) -> Sight {
+fn read_state(path: &Path, own: u64) -> FileState {
     let content = read_whole(path).map(Option::unwrap_or_default);
     let mut living = BTreeSet::new();
     if let Ok(handover) = &content {
         let others = handover.processes.iter().filter(|p| p.locks && p.id != own);
-        living.extend(others.map(|p| p.id).filter(|id| lives(path, *id)));
+        living.extend(others.map(|p| p.id).filter(|id| is_alive(path, *id)));
     }
-    Sight { place: None, content: Some(content), living }
+    FileState { place: None, content: Some(content), living }
 }
 
-/// Whether a process that came after `own` lives. It may serve already and not have said so in the file.
+/// Whether a process that was started after `own` is alive. It may already serve without having recorded this in the file.
 pub fn is_followed(path: &Path, own: u64) -> bool {
-    let sight = sight(path, own);
+    let sight = read_state(path, own);
     sight.handover().is_followed(own, |other| sight.living.contains(&other))
 }
 
-/// The lock under which the file is written, and what it held then.
+/// The lock for writing the file, with the file's content when the lock was taken.
 #[derive(Debug)]
-pub struct Taken {
-    /// Let go of when it is dropped.
+pub struct LockedFile {
+    /// The lock; dropping it releases it.
     pub lock: File,
-    /// What the file holds.
-    pub sight: Sight,
-    /// Descriptors that this process holds, if the system tells.
+    /// The content of the file.
+    pub sight: FileState,
+    /// Number of descriptors that this process has open, if the system reports it.
     pub held: Option<usize>,
 }
 
-/// Why the file cannot be written now.
+/// The reason why the file cannot be locked.
 #[derive(Debug)]
-pub enum NotTaken {
-    /// Another process has held the lock all the time.
+pub enum LockError {
+    /// Another process held the lock during all attempts.
     Held,
-    /// The folder does not work.
+    /// The folder cannot be written.
     Failed {
-        /// What it said.
+        /// The error of the system call.
         error: Error,
-        /// No file stands there.
+        /// Whether the file does not exist.
         nothing_there: bool,
     },
 }
 
-/// Takes the lock on the file for the process `own`, and reads it.
-pub fn take(path: &Path, own: u64) -> Result<Taken, NotTaken> {
-    let lock = take_lock(&path.with_extension("lock"), TRIES).map_err(|error| match error {
-        TryLockError::WouldBlock => NotTaken::Held,
-        TryLockError::Error(error) => NotTaken::Failed { error, nothing_there: place(path).is_none() },
+/// Locks the file for the process `own`, and reads it.
+pub fn take(path: &Path, own: u64) -> Result<LockedFile, LockError> {
+    let lock = take_lock(&path.with_extension("lock"), MAX_LOCK_ATTEMPTS).map_err(|error| match error {
+        TryLockError::WouldBlock => LockError::Held,
+        TryLockError::Error(error) => {
+            LockError::Failed { error, nothing_there: file_version(path).is_none() }
+        }
     })?;
     let held = std::fs::read_dir("/proc/self/fd").ok().map(Iterator::count);
-    Ok(Taken { lock, sight: sight(path, own), held })
+    Ok(LockedFile { lock, sight: read_state(path, own), held })
 }
 
-/// Asks for a lock so many times.
+/// Takes a lock, with the given number of attempts.
 fn take_lock(path: &Path, tries: usize) -> Result<File, TryLockError> {
     for _ in 1..tries {
         match lock(path) {
-            Err(TryLockError::WouldBlock) => std::thread::sleep(LOCK_AGAIN),
+            Err(TryLockError::WouldBlock) => std::thread::sleep(LOCK_RETRY),
             taken => return taken,
         }
     }
     lock(path)
 }
 
-/// The lock on a file that is made for it.
+/// Creates a lock file and locks it.
 fn lock(path: &Path) -> Result<File, TryLockError> {
     let file = File::create(path).map_err(TryLockError::Error)?;
     file.try_lock().map(|()| file)
 }
 
-/// Takes the lock that says that a process lives. It ends with the process, whatever ends that.
-pub fn live(path: &Path, id: u64) -> Option<File> {
-    lock(&living(path, id)).ok()
+/// Takes the lock that shows that a process is alive. The kernel releases it when the process ends for any reason.
+pub fn lock_as_alive(path: &Path, id: u64) -> Option<File> {
+    lock(&alive_lock_path(path, id)).ok()
 }
 
-fn living(path: &Path, id: u64) -> PathBuf {
+fn alive_lock_path(path: &Path, id: u64) -> PathBuf {
     path.with_extension(format!("{id:x}.lives"))
 }
 
-/// Whether a process that took such a lock lives.
-fn lives(path: &Path, id: u64) -> bool {
-    let file = match File::open(living(path, id)) {
+/// Whether a process that took such a lock is alive.
+fn is_alive(path: &Path, id: u64) -> bool {
+    let file = match File::open(alive_lock_path(path, id)) {
         Ok(file) => file,
-        // Without a descriptor left nothing is known, and who is not known to be dead lives.
+        // If the file cannot be opened, for instance for lack of descriptors, the process counts as alive: only a missing file
+        // shows that it is not.
         Err(error) => return error.kind() != ErrorKind::NotFound,
     };
     if file.try_lock_shared().is_err() {
         return true;
     }
-    // Whoever died could not take it away.
-    let _ = std::fs::remove_file(living(path, id));
+    // A process that was killed could not remove its lock file.
+    let _ = std::fs::remove_file(alive_lock_path(path, id));
     false
 }
 
-/// Takes a process that ends out of the file, so that nobody waits for it. If the lock is not to be had, the others see
-/// by its own lock that it is gone.
-pub fn leave(path: &Path, id: u64) {
-    let locked = take_lock(&path.with_extension("lock"), TRIES).ok();
+/// Removes a process that ends from the file, so that no process waits for it. If the file cannot be locked, other processes
+/// see from the released process lock that it has ended.
+pub fn remove_process(path: &Path, id: u64) {
+    let locked = take_lock(&path.with_extension("lock"), MAX_LOCK_ATTEMPTS).ok();
     if let Some(mut handover) = read(path).filter(|_| locked.is_some()) {
         handover.remove(id);
-        put(path, id, &handover);
+        write_file(path, id, &handover);
     }
-    let _ = std::fs::remove_file(living(path, id));
+    let _ = std::fs::remove_file(alive_lock_path(path, id));
 }
 
-/// Puts the file in its place, then lets go of the lock. Gives whether that worked, and whether no file stands there now.
-pub async fn put_and_release(path: PathBuf, id: u64, handover: Handover, lock: File) -> (bool, bool) {
+/// Writes the file, then releases the lock. Returns whether writing succeeded, and whether no file exists afterwards.
+pub async fn write_and_unlock(path: PathBuf, id: u64, handover: Handover, lock: File) -> (bool, bool) {
     let put = move || {
-        let kept = put(&path, id, &handover);
+        let kept = write_file(&path, id, &handover);
         drop(lock);
-        (kept, place(&path).is_none())
+        (kept, file_version(&path).is_none())
     };
     run_blocking(put).await.unwrap_or((false, false))
 }
 
-fn put(path: &Path, id: u64, handover: &Handover) -> bool {
+fn write_file(path: &Path, id: u64, handover: &Handover) -> bool {
     let aside = path.with_extension(format!("{id:x}"));
     let put = || std::fs::write(&aside, handover.encode()).and_then(|()| std::fs::rename(&aside, path));
     let kept = put();
     if let Err(error) = &kept {
         tracing::warn!(path = %path.display(), %error, "hand-over not written");
-        // Half a file takes room that may be short.
+        // A partial file would use disk space, which may be the reason for the failure.
         let _ = std::fs::remove_file(&aside);
     }
     kept.is_ok()
--- a/src/run/handover.rs
+++ b/src/run/handover.rs
@@ -1,7 +1,7 @@
 //! Keeps the file in which one process of a broker leaves what the next must know, and by which two that run side by
 //! side know one another. The file itself is read and written in [`super::folder`], on other threads.
 
-use super::folder::{self, run_blocking, Place, Sight};
+use super::folder::{self, run_blocking, FileState, FileVersion};
 use crate::interface::{ListKind, Time};
 use crate::state::handover::{Handover, NodeLeft, Process};
 use crate::state::maintenance::Maintenance;
@@ -68,7 +68,7 @@
 /// What the file held at the last look.
 #[derive(Default)]
 struct Seen {
-    place: Option<Place>,
+    place: Option<FileVersion>,
     /// Version of the list that was last written.
     written: Option<u64>,
     /// When it was last written; 0 before the first time.
@@ -108,7 +108,7 @@
                 self.own.ready = ready;
                 let kept = self.write(now).await;
                 let path = self.path.clone();
-                let place = run_blocking(move || folder::place(&path)).await.flatten();
+                let place = run_blocking(move || folder::file_version(&path)).await.flatten();
                 seen = Seen { place, written: Some(self.revision.get()), beat: now };
                 if let Some(wish) = wish {
                     // A caller that is gone need not be told.
@@ -119,13 +119,13 @@
     }
 
     /// Looks at the file. It is read where it has changed, or where each look counts.
-    async fn look(&self, seen: &Seen, beside: bool) -> Option<Sight> {
+    async fn look(&self, seen: &Seen, beside: bool) -> Option<FileState> {
         if seen.beat == 0 {
-            return Some(Sight::default());
+            return Some(FileState::default());
         }
         let (path, own, before) = (self.path.clone(), self.own.id, seen.place);
         let always = beside || self.own.part < 1.0;
-        run_blocking(move || folder::look(&path, own, before, always)).await
+        run_blocking(move || folder::check(&path, own, before, always)).await
     }
 
     /// Takes what another process has written; whether one runs.
@@ -156,7 +156,7 @@
     }
 
     /// Goes down to an even part of the limits at once where others live; true if that is to be written.
-    async fn share_limits(&mut self, sight: &Sight) -> bool {
+    async fn share_limits(&mut self, sight: &FileState) -> bool {
         let Some(Ok(other)) = &sight.content else { return false };
         let others = other.other_parts(&self.own, |id| sight.living.contains(&id));
         match parts::next(self.own.part, &others) {
@@ -199,8 +199,8 @@
         let taken = run_blocking(move || folder::take(&path, own)).await;
         let taken = match taken {
             Some(Ok(taken)) => taken,
-            Some(Err(folder::NotTaken::Held)) | None => return false,
-            Some(Err(folder::NotTaken::Failed { error, nothing_there })) => {
+            Some(Err(folder::LockError::Held)) | None => return false,
+            Some(Err(folder::LockError::Failed { error, nothing_there })) => {
                 tracing::warn!(path = %self.path.display(), %error, "hand-over not written");
                 if self.own.part == 0.0 && nothing_there {
                     // Where nothing can be written and nothing was, no other process can ask for a part.
@@ -225,7 +225,7 @@
             handover.revision = self.revision.get();
             handover.nodes = self.maintenance.borrow().nodes().iter().map(NodeLeft::from).collect();
         }
-        let put = folder::put_and_release(self.path.clone(), self.own.id, handover, lock);
+        let put = folder::write_and_unlock(self.path.clone(), self.own.id, handover, lock);
         let (kept, nothing_there) = put.await;
         let raised = std::mem::replace(&mut self.own.part, own);
         if raised > own && (kept || nothing_there) {
--- a/src/run/settings.rs
+++ b/src/run/settings.rs
@@ -1,5 +1,5 @@
-//! Reads the settings that the simulator's first message and the deployment's configuration share.
-//! Unknown keys are ignored.
+//! Parses the settings, which have the same form in the simulator's first message and in the configuration file. Unknown keys
+//! are ignored.
 
 use crate::interface::{Budget, Class, Effect, Group, Limit, Plan, Settings, Time};
 use crate::state::list_validity;
@@ -7,9 +7,9 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// The settings, and the names that later messages use.
+/// The parsed settings, with the names that later messages use.
 pub struct Start {
-    /// What the scheduler is given.
+    /// Settings of the scheduler.
     pub settings: Settings,
     /// Names of the classes, in order.
     pub classes: Vec<String>,
@@ -17,59 +17,60 @@
     pub plans: Vec<String>,
     /// Names of the zones, in order.
     pub zones: Vec<String>,
-    /// How long clients of each class wait in all; where the settings do not tell, what is sure to be enough.
+    /// How long clients of each class wait for an answer in total, in microseconds. A class without a value gets
+    /// [`LONGEST_DEADLINE`].
     pub deadlines: Vec<Time>,
-    /// Whether requests of each class write, where the settings tell.
+    /// Whether requests of each class write, if the settings specify it.
     pub writes: Vec<Option<bool>>,
-    /// Whether the nodes' weights are their registered sizes, exact or rough.
+    /// Whether the nodes' weights are their registered sizes, be they exact or rough.
     pub sizes: bool,
-    /// Number of shards, where the settings tell.
+    /// Number of shards, if the settings specify it.
     pub shards: Option<u32>,
-    /// What the sockets of a real broker are bound by.
+    /// Limits on the connections to nodes.
     pub bounds: Bounds,
-    /// When changes of the list count as told, and how long a node that leaves may still be sent to.
+    /// When changes of the node list count as known, and how long requests may still be sent to a node that leaves.
     pub lists: list_validity::Terms,
 }
 
-/// Bounds on connections. The scheduler knows of none; the simulator keeps them by itself.
+/// Limits on connections to nodes. The scheduler does not use them; the simulator applies its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// A connection that is not up by then counts as unreachable.
+    /// A node counts as unreachable if a connection is not established within this time, in microseconds.
     pub connect_timeout: Time,
-    /// A node closes a connection that was idle for this long.
+    /// A node closes a connection that was idle for this long, in microseconds.
     pub conn_idle: Time,
-    /// Most attempts on one connection at once.
+    /// Largest number of concurrent attempts on one connection.
     pub multiplex: usize,
 }
 
 impl Bounds {
-    /// The same for a pool: links are let go well before nodes close them.
+    /// Returns the settings for the link pool: idle links are closed well before the nodes would close them.
     pub fn links(&self) -> LinkSettings {
         LinkSettings { multiplex: self.multiplex, idle: self.conn_idle * 3 / 5 }
     }
 
-    /// How long a connection to a node may take to come up.
+    /// Returns the connect timeout of connections to nodes.
     pub fn connect(&self) -> Duration {
         Duration::from_micros(self.connect_timeout.max(1000) as u64)
     }
 }
 
 impl Default for Bounds {
-    /// Cautious values for settings that name none.
+    /// Conservative values for settings that specify none.
     fn default() -> Self {
         Bounds { connect_timeout: 250_000, conn_idle: 10_000_000, multiplex: 16 }
     }
 }
 
-/// A client's whole time where the settings name none.
+/// Deadline of a class whose settings specify none, in seconds; longer than any client waits.
 const LONGEST_DEADLINE: f64 = 60.0;
 
-/// Seconds to the scheduler's unit of time.
+/// Converts seconds to microseconds, the scheduler's unit of time.
 pub fn micros(seconds: f64) -> Time {
     (seconds * 1e6).round() as Time
 }
 
-/// A part of the settings with its path, so that a complaint can name the key.
+/// A part of the settings with its path, so that an error can name the key.
 struct At<'a>(&'a Value, String);
 
 impl<'a> At<'a> {
@@ -100,12 +101,12 @@
     }
     fn count(&self) -> Result<u32, String> {
         let n = self.0.as_u64().and_then(|n| u32::try_from(n).ok());
-        n.map_or_else(|| self.bad("a whole number in range"), Ok)
+        n.map_or_else(|| self.bad("a complete_settings number in range"), Ok)
     }
     fn numbered(&self, key: &str) -> Result<f64, String> {
         self.need(key)?.number()
     }
-    /// A number whose key may be absent, which the wire's page says means 0.
+    /// Returns a number whose key may be absent; the protocol defines an absent key as 0.
     fn number_or_0(&self, key: &str) -> Result<f64, String> {
         self.find(key).map_or(Ok(0.0), |v| v.number())
     }
@@ -170,14 +171,14 @@
     })
 }
 
-/// Reads the settings of a `LAUNCH`.
+/// Parses the settings of a `LAUNCH` message.
 pub fn read(text: &str) -> Result<Start, String> {
     let root: Value = serde_json::from_str(text).map_err(|e| format!("conf is not JSON: {e}"))?;
     from_json(&root)
 }
 
-/// Refuses figures that can be read but that no broker could work with, by the key of the first.
-fn workable(at: &At) -> Result<(), String> {
+/// Rejects values that parse but with which no broker could work. The error names the key of the first such value.
+fn validate_values(at: &At) -> Result<(), String> {
     let (rules, extra, bounds) = (at.need("rules")?, at.need("extra")?, at.need("bounds")?);
     let largest = extra.numbered("largest")?;
     let above = |at: &At, key: &str, least: f64, what: &str| match at.find(key) {
@@ -194,7 +195,7 @@
         above(&class, "credit", -f64::MIN_POSITIVE, "0 or more")?;
     }
     for plan in at.need("contracts")?.list()? {
-        // A request of the largest size could never be sent for such a volume.
+        // With a smaller value, a request of the largest size could never be sent for a volume of this plan.
         if plan.number_or_0("never_over")? > 0.0 && plan.number_or_0("most_at_once")? < largest {
             return plan.find("most_at_once").map_or_else(
                 || Err(format!("{}.most_at_once is missing beside never_over", plan.1)),
@@ -202,9 +203,9 @@
             );
         }
     }
-    above(&rules, "start_capacity", 0.0, "over 0, as a part of the whole")?;
+    above(&rules, "start_capacity", 0.0, "over 0, as a part of the complete_settings")?;
     if rules.numbered("start_capacity")? > 1.0 {
-        return rules.need("start_capacity")?.bad("at most 1, as a part of the whole");
+        return rules.need("start_capacity")?.bad("at most 1, as a part of the complete_settings");
     }
     above(&rules, "ask_every_s", 0.0, "over 0")?;
     above(&rules, "stop_sending_within_s", -f64::MIN_POSITIVE, "0 or more")?;
@@ -214,11 +215,11 @@
     above(&bounds, "connect_timeout_s", 0.0, "over 0")
 }
 
-/// Reads settings that stand inside a larger document.
+/// Parses settings that are part of a larger JSON document.
 pub fn from_json(root: &Value) -> Result<Start, String> {
     let at = At(root, "conf".to_string());
     let (bounds, rules, extra) = (at.need("bounds")?, at.need("rules")?, at.need("extra")?);
-    workable(&at)?;
+    validate_values(&at)?;
     let classes = at.need("services")?.list()?;
     let plans = at.need("contracts")?.list()?;
     let named = |list: &[At]| -> Result<Vec<String>, String> {
@@ -306,7 +307,7 @@
     })
 }
 
-/// Keys of a class, and of a plan, that each of them has where all in force have it.
+/// Keys of classes and plans that a new entry must have if all entries in force have them.
 const OF_ENTRY: [&str; 12] = [
     "name",
     "deadline_s",
@@ -322,22 +323,22 @@
     "price",
 ];
 
-/// The first key that settings in force have and new ones lack: a file that lost one must not pass for one that leaves
-/// it to its default.
+/// Returns the first key that the settings in force have and the new ones lack. Such a file is taken as truncated, not as one
+/// that leaves the key at its default.
 pub fn missing(old: &Value, new: &Value) -> Option<String> {
-    lost(old, new, "conf")
+    missing_at(old, new, "conf")
 }
 
-fn lost(old: &Value, new: &Value, path: &str) -> Option<String> {
+fn missing_at(old: &Value, new: &Value, path: &str) -> Option<String> {
     match (old, new) {
         (Value::Object(old), Value::Object(new)) => old.iter().find_map(|(key, old)| {
             let path = format!("{path}.{key}");
             match new.get(key).filter(|new| old.is_null() || !new.is_null()) {
                 None => Some(path),
-                Some(new) => lost(old, new, &path),
+                Some(new) => missing_at(old, new, &path),
             }
         }),
-        // Entries come and go; each must be whole.
+        // Entries may be added and removed, but each must have all of its keys.
         (Value::Array(old), Value::Array(new)) => {
             let all = |key: &&str| !old.is_empty() && old.iter().all(|entry| entry.get(key).is_some());
             let keys: Vec<&str> = OF_ENTRY.iter().copied().filter(all).collect();
@@ -355,7 +356,7 @@
     use super::*;
     use serde_json::json;
 
-    fn whole() -> Value {
+    fn complete_settings() -> Value {
         json!({"balancers": 4, "localities": ["a"], "registry_mode": "on_request",
             "services": [{"name": "read", "promise_s": 0.3, "deadline_s": 1.5, "credit": 3, "late_worth": 0.1,
                 "effect": "free"}],
@@ -367,16 +368,16 @@
             "rules": {"start_capacity": 0.21, "cold_s": 16, "tip_after_s": 2}})
     }
 
-    /// Guards against a broker that starts, says that it serves, and can never send what its first client asks for.
+    /// Guards against settings with which a broker starts and reports that it serves, but can never send a request.
     #[test]
     fn figures_that_cannot_work_are_refused_by_their_key() {
-        assert!(from_json(&whole()).is_ok());
+        assert!(from_json(&complete_settings()).is_ok());
         let with = |path: &str, value: Value| {
-            let mut root = whole();
+            let mut root = complete_settings();
             *root.pointer_mut(path).expect("a key") = value;
             from_json(&root).err().unwrap_or_default()
         };
-        let wrong = [
+        let invalid = [
             ("/balancers", json!(0), "conf.balancers is 0"),
             ("/services/0/promise_s", json!(0), "conf.services[0].promise_s is 0"),
             ("/services/0/credit", json!(-1), "conf.services[0].credit is -1"),
@@ -389,13 +390,13 @@
             ("/rules/tip_after_s", json!(-2), "conf.rules.tip_after_s is -2"),
             ("/bounds/conn_idle_s", json!(0), "conf.bounds.conn_idle_s is 0"),
         ];
-        for (path, value, start) in wrong {
+        for (path, value, start) in invalid {
             let said = with(path, value);
             assert!(said.starts_with(start), "{path}: {said}");
         }
     }
 
-    /// Guards against half a file that is taken for a short one.
+    /// Guards against a truncated file that is accepted as a complete one.
     #[test]
     fn a_key_that_was_there_must_be_there_again() {
         let old = json!({"bounds": {"most_tries": 4, "cancel": true}, "extra": {},
@@ -412,8 +413,8 @@
         assert_eq!(without(&|new| new["bounds"]["cancel"] = Value::Null), Some("conf.bounds.cancel".into()));
         assert_eq!(without(&|new| drop_of(new, "services")), Some("conf.services".into()));
         assert_eq!(without(&|new| drop_of(&mut new["services"][0], "window_s")), None, "not all had it");
-        let lost = without(&|new| drop_of(&mut new["services"][1], "deadline_s"));
-        assert_eq!(lost, Some("conf.services[1].deadline_s".into()));
+        let missing_at = without(&|new| drop_of(&mut new["services"][1], "deadline_s"));
+        assert_eq!(missing_at, Some("conf.services[1].deadline_s".into()));
         assert_eq!(without(&|new| new["services"] = json!([{"name": "c", "deadline_s": 1}])), None);
     }
 }
--- a/src/run/start.rs
+++ b/src/run/start.rs
@@ -189,7 +189,7 @@
 
     let inherited = passed.is_some();
     // Nothing after this may block: from here on, clients that connect expect an answer.
-    let lock = file.as_deref().and_then(|path| folder::live(path, id));
+    let lock = file.as_deref().and_then(|path| folder::lock_as_alive(path, id));
     let front = Front {
         listener: match passed {
             Some(passed) => adopt(passed)?,
--- a/src/run/stop.rs
+++ b/src/run/stop.rs
@@ -84,7 +84,7 @@
             Err(_) => tracing::warn!(clients = self.slots.len(), "stopped with clients unanswered"),
         }
         if let Some((path, id)) = self.hand_over {
-            let left = run_blocking(move || folder::leave(&path, id));
+            let left = run_blocking(move || folder::remove_process(&path, id));
             if tokio::time::timeout(LEAVE_TIMEOUT, left).await.is_err() {
                 tracing::warn!(
                     "not removed from the hand-over file within {} ms: the folder is slow",
