--- a/src/state/deadlines.rs
+++ b/src/state/deadlines.rs
@@ -1,23 +1,24 @@
-//! The one sorted structure that holds all deadlines of a planner. It is swept once each turn.
+//! A sorted set of deadlines. The planner keeps all its deadlines in one such set and takes out the due ones in every
+//! turn.
 
 use crate::interface::Time;
 use std::collections::BTreeSet;
 
-/// Deadlines in the order of their times; of equals, in the order of `T`.
+/// Deadlines, sorted by time; deadlines with the same time are sorted by `T`.
 #[derive(Debug)]
 pub struct Deadlines<T: Ord> {
     set: BTreeSet<(Time, T)>,
     lateness: Lateness,
 }
 
-/// How late deadlines were swept.
+/// Statistics of how late deadlines were taken out.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Lateness {
-    /// Deadlines swept.
+    /// Number of deadlines taken out.
     pub count: u64,
-    /// Sum of their lateness, in microseconds.
+    /// Sum of the lateness of these deadlines, in microseconds.
     pub total: Time,
-    /// The worst.
+    /// The largest lateness, in microseconds.
     pub worst: Time,
 }
 
@@ -28,22 +29,22 @@
 }
 
 impl<T: Ord> Deadlines<T> {
-    /// Sets a deadline.
+    /// Adds a deadline.
     pub fn insert(&mut self, at: Time, what: T) {
         self.set.insert((at, what));
     }
 
-    /// Takes back a deadline.
+    /// Removes a deadline; returns whether it was set.
     pub fn remove(&mut self, at: Time, what: T) -> bool {
         self.set.remove(&(at, what))
     }
 
-    /// The time of the first.
+    /// Returns the time of the earliest deadline, or `None` if no deadline is set.
     pub fn first(&self) -> Option<Time> {
         self.set.first().map(|(at, _)| *at)
     }
 
-    /// Takes the first that is due at `now`.
+    /// Takes out the earliest deadline if it is due at `now`.
     pub fn pop_due(&mut self, now: Time) -> Option<(Time, T)> {
         if self.first()? > now {
             return None;
@@ -55,17 +56,17 @@
         Some((at, what))
     }
 
-    /// How late deadlines were since the last call.
+    /// Returns the lateness statistics since the last call and resets them.
     pub fn take_lateness(&mut self) -> Lateness {
         std::mem::take(&mut self.lateness)
     }
 
-    /// How many are set.
+    /// Returns the number of deadlines.
     pub fn len(&self) -> usize {
         self.set.len()
     }
 
-    /// Whether none is set.
+    /// Returns whether no deadline is set.
     pub fn is_empty(&self) -> bool {
         self.set.is_empty()
     }
@@ -76,7 +77,7 @@
     use super::*;
 
     #[test]
-    fn sweeps_what_is_due_in_order_and_measures_how_late() {
+    fn due_deadlines_are_taken_in_order_and_their_lateness_is_measured() {
         let mut deadlines = Deadlines::default();
         for (at, what) in [(30, 'c'), (10, 'b'), (10, 'a'), (20, 'x')] {
             deadlines.insert(at, what);
--- a/src/state/guard.rs
+++ b/src/state/guard.rs
@@ -1,13 +1,14 @@
-//! The one guard that every request passes where something begins, is repeated, is answered or is closed. It keeps
-//! what is owed, denies what must not happen, and counts what has happened all the same: a violation. Time is
-//! handed in.
+//! The guard checks the rules that every request must obey, at each step of its life: acceptance, the begin of an
+//! attempt, the answer, and the close of its connection. It keeps the list of requests that need an answer, denies
+//! attempts that must not begin, and counts every rule that was broken nevertheless as a violation. The caller passes
+//! the current time.
 //!
-//! | what | asked by | rule |
+//! | step | checked by | rule |
 //! | --- | --- | --- |
-//! | a request is taken | the session | once, and not after its client has gone |
-//! | an attempt begins, the first or a further one | the link, right before the first byte | its client waits, its time is not over, nobody has answered it, and what may have run is repeated only where that is harmless |
-//! | an answer is given | the session | one, to a request that is owed one, in its time |
-//! | a connection is closed | the session | nothing is owed on it, unless its client went or does not read |
+//! | a request is accepted | the session | once, and not after its client has disconnected |
+//! | an attempt begins (the first or a retry) | the link, directly before it writes the first byte | the client is still waiting, the deadline has not passed, the request has no answer yet, and a request that may have run is repeated only if that is harmless |
+//! | a request is answered | the session | exactly once, in time, and only if the request is awaiting its answer |
+//! | a connection is closed | the session | no request on it awaits an answer, unless its client has disconnected or does not read |
 
 use crate::interface::{Ending, RequestId, Time};
 use std::cell::RefCell;
@@ -15,31 +16,31 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// How long after its client's close an attempt may begin, in microseconds.
+/// How long after its client has closed the connection an attempt may still begin, in microseconds.
 const AFTER_CLOSE: Time = 100_000;
-/// How long after its time an answer only earns nothing, in microseconds; then the request is lost.
+/// How long after the deadline an answer is merely late, in microseconds. After that the request counts as lost.
 const LATE_ANSWER: Time = 500_000;
-/// How much more than its client has left a node may be told, in microseconds.
-const TOLD_SLACK: Time = 150_000;
+/// By how much the deadline sent to a node may exceed the client's own, in microseconds.
+const DEADLINE_SLACK: Time = 150_000;
 
-/// A rule that was broken.
+/// The kinds of broken rules.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// An attempt began more than the allowed time after its client had closed.
+    /// An attempt began more than [`AFTER_CLOSE`] after its client had closed the connection.
     BegunAfterClose,
-    /// A node was told more than its client had left.
+    /// The deadline sent to a node was later than the client's own by more than [`DEADLINE_SLACK`].
     ToldTooMuch,
-    /// No answer by the time at which the request counts as lost.
+    /// The request had no answer by the time at which it counts as lost.
     Unanswered,
-    /// An answer to a request that is not owed one.
+    /// An answer was given to a request that was not awaiting one.
     AnsweredTwice,
-    /// A connection was closed under what it owed.
+    /// A connection was closed while a request on it awaited its answer.
     ClosedUnderRequest,
-    /// A request was taken twice.
+    /// A request was accepted twice.
     TakenTwice,
 }
 
-/// All of them, in the order of the counts.
+/// All violations, in the order of the counters in [`Violations`].
 const VIOLATIONS: [Violation; 6] = [
     Violation::BegunAfterClose,
     Violation::ToldTooMuch,
@@ -49,24 +50,24 @@
     Violation::TakenTwice,
 ];
 
-/// How often each rule was broken.
+/// The number of violations of each kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Violations([u64; VIOLATIONS.len()]);
 
 impl Violations {
-    /// How often one was.
+    /// Returns the number of violations of one kind.
     pub fn of(&self, violation: Violation) -> u64 {
         self.0[violation as usize]
     }
 
-    /// How often any was.
+    /// Returns the number of violations of all kinds together.
     pub fn total(&self) -> u64 {
         self.0.iter().sum()
     }
 }
 
 impl fmt::Display for Violations {
-    /// The total, and which they were if there are any.
+    /// Writes the total, followed by the count of each kind that occurred.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.total())?;
         for violation in VIOLATIONS.into_iter().filter(|v| self.of(*v) > 0) {
@@ -79,92 +80,92 @@
 /// Why an attempt may not begin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Denied {
-    /// Its client has gone, or the request has its answer.
+    /// The client has disconnected, or the request already has its answer.
     Over,
-    /// The time in which it may begin is over.
+    /// The time by which the attempt had to begin has passed.
     Late,
-    /// An earlier attempt may have run, and a second run would do harm.
+    /// An earlier attempt may have run, and running the request twice would do harm.
     MayHaveRun,
 }
 
-/// What repeats of a request do.
+/// Whether running a request more than once does harm.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeats {
-    /// No harm.
+    /// Running the request again does no harm.
     Harmless,
-    /// Harm, if an earlier attempt has run.
+    /// Running the request again does harm if an earlier attempt has run.
     Harmful,
 }
 
 /// Why a client's connection ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseReason {
-    /// Its client has closed it, or it broke.
+    /// The client has closed the connection, or the connection broke.
     ClientGone,
-    /// Its client does not read what it was sent.
+    /// The client does not read its answers.
     NotRead,
-    /// The rest of a long value will not come: the client must see that it is not whole.
+    /// The rest of a streamed value will not arrive; closing the connection shows the client that the value is truncated.
     BrokenValue,
-    /// Its client wished so, or broke the protocol.
+    /// The client asked for the close, or violated the protocol.
     Ended,
-    /// It was not used for too long.
+    /// The connection's idle timeout expired.
     Idle,
-    /// Its place is wanted.
+    /// The connection slot is needed for another client.
     PlaceWanted,
-    /// The broker sends its clients away.
+    /// The broker is draining its clients.
     SentAway,
 }
 
 impl CloseReason {
-    /// Whether the broker ends a connection by its own wish, between requests.
+    /// Returns whether the broker itself decided to close the connection, between requests.
     pub fn is_broker_initiated(self) -> bool {
         matches!(self, CloseReason::Idle | CloseReason::PlaceWanted | CloseReason::SentAway)
     }
 
-    /// Whether the broker may end a connection so under what it owes there.
-    fn excuses(self) -> bool {
+    /// Returns whether the broker may close a connection for this reason while requests on it await their answers.
+    fn allows_pending_requests(self) -> bool {
         matches!(self, CloseReason::ClientGone | CloseReason::NotRead | CloseReason::BrokenValue)
     }
 }
 
-/// A request that waits for its answer.
+/// A request that awaits its answer.
 #[derive(Debug)]
-struct Owed {
-    /// When its client gives up.
+struct PendingRequest {
+    /// The client's deadline.
     due: Time,
-    /// A session has taken it, and will give its answer.
+    /// Whether a client session accepted the request and will pass on its answer.
     of_client: bool,
-    /// Its answer is on its way to the session.
+    /// Whether the planner has already given the answer, which is on its way to the session.
     is_settled: bool,
-    /// Its time was over without an answer, which was counted.
+    /// Whether the request was already counted as lost.
     is_lost: bool,
     repeats: Repeats,
-    /// Attempts that may have run.
+    /// The numbers of the attempts that may have run.
     may_have_run: BTreeSet<u32>,
     last_begun: Option<Time>,
 }
 
 #[derive(Debug, Default)]
-struct Book {
-    /// Each ends with its answer or its client.
-    owed: BTreeMap<RequestId, Owed>,
-    /// When each of them counts as lost.
+struct Ledger {
+    /// The requests that await an answer. An entry is removed when its answer is given or its client disconnects.
+    pending: BTreeMap<RequestId, PendingRequest>,
+    /// The times at which these requests count as lost.
     lost_at: BTreeSet<(Time, RequestId)>,
     violations: Violations,
 }
 
-/// The guard of one planner, shared by its sessions and its links.
+/// The guard of one planner, shared with its sessions and links.
 #[derive(Debug, Clone, Default)]
-pub struct Guard(Rc<RefCell<Book>>);
+pub struct Guard(Rc<RefCell<Ledger>>);
 
-impl Book {
+impl Ledger {
     fn violate(&mut self, violation: Violation, id: RequestId, by: Time) {
         self.violations.0[violation as usize] += 1;
         tracing::error!(id, ?violation, by_us = by, "rule broken");
     }
 
     fn insert(&mut self, id: RequestId, due: Time, of_client: bool) {
-        let owed = Owed {
+        let pending = PendingRequest {
             due,
             of_client,
             is_settled: false,
@@ -174,47 +175,48 @@
             last_begun: None,
         };
         self.lost_at.insert((due.saturating_add(LATE_ANSWER), id));
-        if let Some(before) = self.owed.insert(id, owed) {
+        if let Some(before) = self.pending.insert(id, pending) {
             self.lost_at.remove(&(before.due.saturating_add(LATE_ANSWER), id));
             self.violate(Violation::TakenTwice, id, 0);
         }
     }
 
-    fn remove(&mut self, id: RequestId) -> Option<Owed> {
-        let owed = self.owed.remove(&id)?;
-        self.lost_at.remove(&(owed.due.saturating_add(LATE_ANSWER), id));
-        Some(owed)
+    fn remove(&mut self, id: RequestId) -> Option<PendingRequest> {
+        let pending = self.pending.remove(&id)?;
+        self.lost_at.remove(&(pending.due.saturating_add(LATE_ANSWER), id));
+        Some(pending)
     }
 }
 
 impl Guard {
-    /// A session has taken a request whose client gives up at `due`.
+    /// Registers a request that a session has accepted and whose client gives up at `due`.
     pub fn take(&self, id: RequestId, due: Time) {
         self.0.borrow_mut().insert(id, due, true);
     }
 
-    /// The planner takes a request, of a session or `own`. False if its client has gone by now.
+    /// Records that the planner accepts a request, either of a session or of the broker itself (`own`). Returns false if
+    /// the client has disconnected meanwhile.
     pub fn admit(&self, id: RequestId, due: Time, repeats: Repeats, own: bool) -> bool {
-        let mut book = self.0.borrow_mut();
+        let mut ledger = self.0.borrow_mut();
         if own {
-            book.insert(id, due, false);
+            ledger.insert(id, due, false);
         }
-        let Some(owed) = book.owed.get_mut(&id) else { return false };
-        owed.repeats = repeats;
+        let Some(pending) = ledger.pending.get_mut(&id) else { return false };
+        pending.repeats = repeats;
         true
     }
 
-    /// A request's client gives up at another time than was known.
+    /// Changes the deadline of a request.
     pub fn retime(&self, id: RequestId, due: Time) {
-        let mut book = self.0.borrow_mut();
-        let Some(owed) = book.owed.get_mut(&id) else { return };
-        let before = std::mem::replace(&mut owed.due, due);
-        book.lost_at.remove(&(before.saturating_add(LATE_ANSWER), id));
-        book.lost_at.insert((due.saturating_add(LATE_ANSWER), id));
+        let mut ledger = self.0.borrow_mut();
+        let Some(pending) = ledger.pending.get_mut(&id) else { return };
+        let before = std::mem::replace(&mut pending.due, due);
+        ledger.lost_at.remove(&(before.saturating_add(LATE_ANSWER), id));
+        ledger.lost_at.insert((due.saturating_add(LATE_ANSWER), id));
     }
 
-    /// Asks whether an attempt may begin now, right before its first byte is written; `begin_by` is the last time at
-    /// which it may, and its node is told that its answer is waited for until `until`.
+    /// Checks whether an attempt may begin now; the link calls this directly before it writes the first byte. The attempt
+    /// must begin before `begin_by`, and the node gets `until` as the deadline of the answer.
     pub fn begin(
         &self,
         (id, attempt): (RequestId, u32),
@@ -222,95 +224,96 @@
         begin_by: Time,
         until: Time,
     ) -> Result<(), Denied> {
-        let mut book = self.0.borrow_mut();
-        let Some(owed) = book.owed.get_mut(&id).filter(|owed| !owed.is_settled) else {
+        let mut ledger = self.0.borrow_mut();
+        let Some(pending) = ledger.pending.get_mut(&id).filter(|pending| !pending.is_settled) else {
             return Err(Denied::Over);
         };
-        if now >= begin_by || now >= owed.due {
+        if now >= begin_by || now >= pending.due {
             return Err(Denied::Late);
         }
-        if owed.repeats == Repeats::Harmful && !owed.may_have_run.is_empty() {
+        if pending.repeats == Repeats::Harmful && !pending.may_have_run.is_empty() {
             return Err(Denied::MayHaveRun);
         }
-        owed.may_have_run.insert(attempt);
-        owed.last_begun = Some(now);
-        let beyond = until.saturating_sub(owed.due);
-        if beyond > TOLD_SLACK {
-            book.violate(Violation::ToldTooMuch, id, beyond);
+        pending.may_have_run.insert(attempt);
+        pending.last_begun = Some(now);
+        let beyond = until.saturating_sub(pending.due);
+        if beyond > DEADLINE_SLACK {
+            ledger.violate(Violation::ToldTooMuch, id, beyond);
         }
         Ok(())
     }
 
-    /// An attempt has ended.
+    /// Records the end of an attempt. An attempt whose ending shows that it never ran does not block a retry.
     pub fn ended(&self, (id, attempt): (RequestId, u32), ending: Ending) {
         let never_ran =
             matches!(ending, Ending::Full | Ending::Unreachable | Ending::NotSent | Ending::NoLink);
-        if let Some(owed) = self.0.borrow_mut().owed.get_mut(&id).filter(|_| never_ran) {
-            owed.may_have_run.remove(&attempt);
+        if let Some(pending) = self.0.borrow_mut().pending.get_mut(&id).filter(|_| never_ran) {
+            pending.may_have_run.remove(&attempt);
         }
     }
 
-    /// The planner has given a request its answer, or given it up: nothing more begins for it.
+    /// Records that the planner has answered or abandoned a request: no further attempt may begin for it.
     pub fn settle(&self, id: RequestId) {
-        let mut book = self.0.borrow_mut();
-        let of_client = match book.owed.get_mut(&id) {
-            Some(owed) => {
-                owed.is_settled = true;
-                owed.of_client
+        let mut ledger = self.0.borrow_mut();
+        let of_client = match ledger.pending.get_mut(&id) {
+            Some(pending) => {
+                pending.is_settled = true;
+                pending.of_client
             }
             None => return,
         };
         if !of_client {
-            book.remove(id);
+            ledger.remove(id);
         }
     }
 
-    /// A session gives a request its answer.
+    /// Records that a session passes the answer of a request to its client.
     pub fn answer(&self, id: RequestId, now: Time) {
-        let mut book = self.0.borrow_mut();
-        match book.remove(id) {
-            None => book.violate(Violation::AnsweredTwice, id, 0),
-            Some(owed) if !owed.is_lost && now > owed.due.saturating_add(LATE_ANSWER) => {
-                book.violate(Violation::Unanswered, id, now - owed.due);
+        let mut ledger = self.0.borrow_mut();
+        match ledger.remove(id) {
+            None => ledger.violate(Violation::AnsweredTwice, id, 0),
+            Some(pending) if !pending.is_lost && now > pending.due.saturating_add(LATE_ANSWER) => {
+                ledger.violate(Violation::Unanswered, id, now - pending.due);
             }
             Some(_) => {}
         }
     }
 
-    /// A connection ends under these requests; its client may have closed it at `at` already.
-    pub fn close(&self, owed: &[RequestId], at: Time, reason: CloseReason) {
-        let mut book = self.0.borrow_mut();
-        for id in owed {
-            let begun = book.remove(*id).and_then(|owed| owed.last_begun);
-            if !reason.excuses() {
-                book.violate(Violation::ClosedUnderRequest, *id, 0);
+    /// Records that a connection is closed while these requests await their answers. `at` is the time of the close, which
+    /// is in the past if the client closed the connection earlier.
+    pub fn close(&self, pending: &[RequestId], at: Time, reason: CloseReason) {
+        let mut ledger = self.0.borrow_mut();
+        for id in pending {
+            let begun = ledger.remove(*id).and_then(|pending| pending.last_begun);
+            if !reason.allows_pending_requests() {
+                ledger.violate(Violation::ClosedUnderRequest, *id, 0);
             }
             if let Some(begun) = begun.filter(|begun| *begun > at + AFTER_CLOSE) {
-                book.violate(Violation::BegunAfterClose, *id, begun - at);
+                ledger.violate(Violation::BegunAfterClose, *id, begun - at);
             }
         }
     }
 
-    /// Counts the requests whose time for an answer is over by now, each once.
+    /// Counts each request that is lost by `now`, once.
     pub fn sweep(&self, now: Time) {
-        let mut book = self.0.borrow_mut();
-        while let Some((_, id)) = book.lost_at.first().copied().filter(|(at, _)| *at < now) {
-            book.lost_at.pop_first();
-            let Some(owed) = book.owed.get_mut(&id) else { continue };
-            owed.is_lost = true;
-            let late = now - owed.due;
-            book.violate(Violation::Unanswered, id, late);
+        let mut ledger = self.0.borrow_mut();
+        while let Some((_, id)) = ledger.lost_at.first().copied().filter(|(at, _)| *at < now) {
+            ledger.lost_at.pop_first();
+            let Some(pending) = ledger.pending.get_mut(&id) else { continue };
+            pending.is_lost = true;
+            let late = now - pending.due;
+            ledger.violate(Violation::Unanswered, id, late);
         }
     }
 
-    /// How often each rule was broken since the start.
+    /// Returns the violations since the start.
     pub fn violations(&self) -> Violations {
         self.0.borrow().violations
     }
 
-    /// Requests that wait for their answers.
-    pub fn owed(&self) -> usize {
-        self.0.borrow().owed.len()
+    /// Returns the number of requests that await their answers.
+    pub fn pending(&self) -> usize {
+        self.0.borrow().pending.len()
     }
 }
 
--- a/src/state/interceptor.rs
+++ b/src/state/interceptor.rs
@@ -1,38 +1,38 @@
-//! What stands between the fronts and a planner: it may take a request for itself and ask the planner for
-//! others in its place.
+//! Interceptors sit between the fronts and a planner. An interceptor may keep a request and send the planner requests of
+//! its own in its place.
 
 use super::planner::{Input, OpenByShard, Wire};
 use crate::interface::Time;
 
-/// A stage before the planner. It lives in the planner's turns: no queue lies between.
+/// Intercepts the inputs of a planner. It runs within the planner's turns, without a queue in between.
 pub trait Interceptor<W: Wire>: 'static {
-    /// Takes what has happened and appends what the planner is to be told.
+    /// Processes one input and appends the inputs for the planner to `on`.
     fn take(&mut self, now: Time, input: Input<W>, on: &mut Vec<Input<W>>);
 
-    /// Takes the planner's answers to requests of its own, if there are any.
+    /// Processes the planner's answers to the interceptor's own requests and appends further inputs for the planner.
     fn collect_answers(&mut self, _now: Time, _on: &mut Vec<Input<W>>) {}
 
-    /// Sweeps its deadlines; the planner has so many requests open.
+    /// Processes the interceptor's deadlines that are due. `_open` holds the planner's open requests by shard.
     fn sweep(&mut self, _now: Time, _open: &OpenByShard, _on: &mut Vec<Input<W>>) {}
 
-    /// When it must be woken at the latest.
+    /// Returns the time of the interceptor's next deadline, or `None` if no deadline is set.
     fn next_deadline(&self) -> Option<Time> {
         None
     }
 
-    /// All clients are gone, and none will come any more.
+    /// Starts the shutdown: all clients have disconnected and no further ones will connect.
     fn stop(&mut self, _now: Time, _on: &mut Vec<Input<W>>) {}
 
-    /// Whether it has come to its end after that.
+    /// Returns whether the shutdown that [`Interceptor::stop`] started is complete.
     fn is_stopped(&self) -> bool {
         true
     }
 
-    /// Says in the log what it has done.
+    /// Logs the interceptor's counters.
     fn report(&mut self, _now: Time) {}
 }
 
-/// No stage at all.
+/// An interceptor that passes every input to the planner unchanged.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PassThrough;
 
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! What is kept in memory: requests, attempts, the table of nodes, pools of links, deadlines.
-//! Nothing here knows what is spoken on a wire.
+//! The in-memory state of the broker: requests, attempts, the table of nodes, pools of links, deadlines.
+//! Nothing in this module depends on a wire protocol.
 
 pub mod accept_queue;
 pub mod activity;
--- a/src/state/pipe.rs
+++ b/src/state/pipe.rs
@@ -1,5 +1,5 @@
-//! A bounded window through which a large value passes: whoever has its bytes puts them in while there is space, whoever
-//! wants them takes them out. Neither ever holds the whole.
+//! A bounded in-memory pipe for large values. The writer puts bytes in while there is space and the reader takes them
+//! out, so that neither holds the complete value.
 
 use super::buffer_budget::{BufferBudget, Reservation};
 use bytes::Bytes;
@@ -8,21 +8,22 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Most bytes that wait in a window.
+/// Maximum number of buffered bytes in a pipe.
 pub const WINDOW: usize = 64 * 1024;
-/// So many may always wait, as part of what a connection takes; more are charged.
-const LEAST: usize = 8 * 1024;
-/// Charged ahead of what is held.
-const AHEAD: usize = 64 * 1024;
+/// Number of bytes that a pipe may always buffer, since they are part of a connection's fixed memory. Bytes beyond these
+/// are charged to the buffer budget.
+const UNCHARGED: usize = 8 * 1024;
+/// Number of bytes charged in advance of the buffered bytes.
+const CHARGED_AHEAD: usize = 64 * 1024;
 
-/// What has become of a value.
+/// The state of a value's transfer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
-    /// Bytes are still to come.
+    /// More bytes are expected.
     Ongoing,
-    /// All have come, and what came after them fits.
+    /// All bytes of the value have arrived, and the end of the value was valid.
     Complete,
-    /// The rest will never come.
+    /// The rest of the value will never arrive.
     Broken,
 }
 
@@ -30,134 +31,135 @@
 struct Inner {
     most: usize,
     chunks: RefCell<VecDeque<Bytes>>,
-    held: Cell<usize>,
-    part: RefCell<Reservation>,
-    course: Cell<Progress>,
-    /// Whether any byte has been taken out.
-    tapped: Cell<bool>,
-    takers: Cell<usize>,
-    put: Notify,
-    taken: Notify,
+    buffered: Cell<usize>,
+    reservation: RefCell<Reservation>,
+    progress: Cell<Progress>,
+    /// Whether any bytes have been taken out.
+    consumed: Cell<bool>,
+    readers: Cell<usize>,
+    bytes_put: Notify,
+    bytes_taken: Notify,
 }
 
-/// Where bytes are put in. Dropped before the value is whole, it breaks it.
+/// The writing end of a pipe. Dropping it before [`PipeWriter::finish`] marks the value as broken.
 #[derive(Debug)]
 pub struct PipeWriter(Rc<Inner>);
 
-/// Where bytes are taken out.
+/// The reading end of a pipe. Clones read from the same buffer.
 #[derive(Debug)]
 pub struct PipeReader(Rc<Inner>);
 
-/// A window whose bytes are charged to a room.
+/// Creates a pipe that buffers at most `most` bytes and charges them to the buffer budget.
 pub fn pipe(budget: &BufferBudget, most: usize) -> (PipeWriter, PipeReader) {
     let inner = Rc::new(Inner {
         most,
         chunks: RefCell::default(),
-        held: Cell::new(0),
-        part: RefCell::new(budget.empty_reservation()),
-        course: Cell::new(Progress::Ongoing),
-        tapped: Cell::new(false),
-        takers: Cell::new(1),
-        put: Notify::new(),
-        taken: Notify::new(),
+        buffered: Cell::new(0),
+        reservation: RefCell::new(budget.empty_reservation()),
+        progress: Cell::new(Progress::Ongoing),
+        consumed: Cell::new(false),
+        readers: Cell::new(1),
+        bytes_put: Notify::new(),
+        bytes_taken: Notify::new(),
     });
     (PipeWriter(inner.clone()), PipeReader(inner))
 }
 
 impl PipeWriter {
-    /// How many bytes may be put in now. What is held is charged, and a little ahead of it.
+    /// Returns how many bytes may be put in now. Charges the buffered bytes and up to [`CHARGED_AHEAD`] more to the buffer
+    /// budget; if the budget is exhausted, the pipe buffers no more than is already charged.
     pub fn space(&self) -> usize {
-        let held = self.0.held.get();
-        let wanted = (held + AHEAD).min(self.0.most);
-        let mut part = self.0.part.borrow_mut();
-        let charged = part.resize(wanted.saturating_sub(LEAST));
-        let window = if charged { wanted } else { part.bytes() + LEAST };
-        window.saturating_sub(held)
+        let buffered = self.0.buffered.get();
+        let wanted = (buffered + CHARGED_AHEAD).min(self.0.most);
+        let mut reservation = self.0.reservation.borrow_mut();
+        let charged = reservation.resize(wanted.saturating_sub(UNCHARGED));
+        let window = if charged { wanted } else { reservation.bytes() + UNCHARGED };
+        window.saturating_sub(buffered)
     }
 
-    /// Puts bytes in.
+    /// Appends bytes to the buffer.
     pub fn put(&self, bytes: Bytes) {
         if !bytes.is_empty() {
-            self.0.held.set(self.0.held.get() + bytes.len());
+            self.0.buffered.set(self.0.buffered.get() + bytes.len());
             self.0.chunks.borrow_mut().push_back(bytes);
-            self.0.put.notify_one();
+            self.0.bytes_put.notify_one();
         }
     }
 
-    /// All bytes are in.
+    /// Marks the value as complete.
     pub fn finish(self) {
-        self.0.course.set(Progress::Complete);
+        self.0.progress.set(Progress::Complete);
     }
 
-    /// Whether nobody takes any more.
+    /// Returns whether all reading ends have been dropped.
     pub fn is_abandoned(&self) -> bool {
-        self.0.takers.get() == 0
+        self.0.readers.get() == 0
     }
 
-    /// Waits until some were taken, or nobody takes any more. Holds nothing of the giver.
+    /// Waits until bytes have been taken out or all reading ends have been dropped. The future does not borrow the writer.
     pub fn wait_for_space(&self) -> impl std::future::Future<Output = ()> + 'static {
         let inner = self.0.clone();
-        async move { inner.taken.notified().await }
+        async move { inner.bytes_taken.notified().await }
     }
 }
 
 impl Drop for PipeWriter {
     fn drop(&mut self) {
-        if self.0.course.get() == Progress::Ongoing {
-            self.0.course.set(Progress::Broken);
+        if self.0.progress.get() == Progress::Ongoing {
+            self.0.progress.set(Progress::Broken);
         }
-        self.0.put.notify_one();
+        self.0.bytes_put.notify_one();
     }
 }
 
 impl PipeReader {
-    /// The next bytes, if any wait.
+    /// Takes the next bytes out of the buffer, or returns `None` if the buffer is empty.
     pub fn take(&self) -> Option<Bytes> {
         let chunk = self.0.chunks.borrow_mut().pop_front()?;
-        let held = self.0.held.get() - chunk.len();
-        self.0.held.set(held);
-        let mut part = self.0.part.borrow_mut();
-        let less = part.bytes().min(held);
-        part.resize(less);
-        self.0.tapped.set(true);
-        self.0.taken.notify_one();
+        let buffered = self.0.buffered.get() - chunk.len();
+        self.0.buffered.set(buffered);
+        let mut reservation = self.0.reservation.borrow_mut();
+        let less = reservation.bytes().min(buffered);
+        reservation.resize(less);
+        self.0.consumed.set(true);
+        self.0.bytes_taken.notify_one();
         Some(chunk)
     }
 
-    /// What has become of the value; it is whole only when all that waited is taken, too.
+    /// Returns the state of the transfer. It becomes [`Progress::Complete`] only after the buffer has been emptied.
     pub fn progress(&self) -> Progress {
-        match self.0.course.get() {
-            Progress::Complete if self.0.held.get() > 0 => Progress::Ongoing,
-            course => course,
+        match self.0.progress.get() {
+            Progress::Complete if self.0.buffered.get() > 0 => Progress::Ongoing,
+            progress => progress,
         }
     }
 
-    /// Whether bytes were taken that nobody can take again.
+    /// Returns whether any bytes have been taken out, so that the value cannot be read again from its start.
     pub fn is_consumed(&self) -> bool {
-        self.0.tapped.get()
+        self.0.consumed.get()
     }
 
-    /// Waits until some were put in, or none will be. Holds nothing of the taker.
+    /// Waits until bytes have been put in or the writer has been dropped. The future does not borrow the reader.
     pub fn wait_for_bytes(&self) -> impl std::future::Future<Output = ()> + 'static {
         let inner = self.0.clone();
-        async move { inner.put.notified().await }
+        async move { inner.bytes_put.notified().await }
     }
 }
 
 impl Clone for PipeReader {
     fn clone(&self) -> Self {
-        self.0.takers.set(self.0.takers.get() + 1);
+        self.0.readers.set(self.0.readers.get() + 1);
         PipeReader(self.0.clone())
     }
 }
 
 impl Drop for PipeReader {
     fn drop(&mut self) {
-        self.0.takers.set(self.0.takers.get() - 1);
-        if self.0.takers.get() == 0 {
+        self.0.readers.set(self.0.readers.get() - 1);
+        if self.0.readers.get() == 0 {
             self.0.chunks.borrow_mut().clear();
-            self.0.held.set(0);
-            self.0.taken.notify_one();
+            self.0.buffered.set(0);
+            self.0.bytes_taken.notify_one();
         }
     }
 }
@@ -167,50 +169,55 @@
     use super::*;
 
     #[test]
-    fn a_value_passes_in_parts_and_is_whole_only_when_all_is_taken() {
-        let (giver, taker) = pipe(&BufferBudget::new(1 << 20), WINDOW);
-        assert_eq!((giver.space(), taker.take(), taker.progress()), (WINDOW, None, Progress::Ongoing));
-        giver.put(Bytes::from(vec![1; WINDOW - 5]));
-        giver.put(Bytes::from_static(b"ab"));
-        assert_eq!((giver.space(), taker.is_consumed()), (3, false));
-        assert_eq!(taker.take().map(|b| b.len()), Some(WINDOW - 5));
-        assert_eq!((giver.space(), taker.is_consumed()), (WINDOW - 2, true));
-        giver.finish();
-        assert_eq!(taker.progress(), Progress::Ongoing, "some of it still waits");
-        assert_eq!(taker.take().as_deref(), Some(&b"ab"[..]));
-        assert_eq!(taker.progress(), Progress::Complete);
+    fn a_value_passes_in_parts_and_is_complete_only_when_all_bytes_are_taken() {
+        let (writer, reader) = pipe(&BufferBudget::new(1 << 20), WINDOW);
+        assert_eq!((writer.space(), reader.take(), reader.progress()), (WINDOW, None, Progress::Ongoing));
+        writer.put(Bytes::from(vec![1; WINDOW - 5]));
+        writer.put(Bytes::from_static(b"ab"));
+        assert_eq!((writer.space(), reader.is_consumed()), (3, false));
+        assert_eq!(reader.take().map(|b| b.len()), Some(WINDOW - 5));
+        assert_eq!((writer.space(), reader.is_consumed()), (WINDOW - 2, true));
+        writer.finish();
+        assert_eq!(reader.progress(), Progress::Ongoing, "bytes are still buffered");
+        assert_eq!(reader.take().as_deref(), Some(&b"ab"[..]));
+        assert_eq!(reader.progress(), Progress::Complete);
     }
 
-    /// Guards against a value cut off that passes for a whole one, and a source that fills a window nobody empties.
+    /// Guards against a truncated value that is taken for a complete one, and against a writer that keeps filling a pipe
+    /// without a reader.
     #[test]
-    fn whoever_lets_go_early_is_noticed() {
-        let (giver, taker) = pipe(&BufferBudget::new(1 << 20), WINDOW);
-        giver.put(Bytes::from_static(b"ab"));
-        drop(giver);
-        assert_eq!(taker.progress(), Progress::Broken);
-        let (giver, taker) = pipe(&BufferBudget::new(1 << 20), WINDOW);
-        let other = taker.clone();
-        drop(taker);
-        assert!(!giver.is_abandoned());
+    fn an_end_dropped_early_is_detected() {
+        let (writer, reader) = pipe(&BufferBudget::new(1 << 20), WINDOW);
+        writer.put(Bytes::from_static(b"ab"));
+        drop(writer);
+        assert_eq!(reader.progress(), Progress::Broken);
+        let (writer, reader) = pipe(&BufferBudget::new(1 << 20), WINDOW);
+        let other = reader.clone();
+        drop(reader);
+        assert!(!writer.is_abandoned());
         drop(other);
-        assert!(giver.is_abandoned());
+        assert!(writer.is_abandoned());
     }
 
-    /// Guards against windows that together outgrow the memory, and against ones that stop for good without room.
+    /// Guards against pipes that together exceed the buffer budget, and against pipes that stall forever when the budget is
+    /// exhausted.
     #[test]
-    fn windows_are_charged_and_shrink_without_room() {
-        let budget = BufferBudget::new(2 * (WINDOW - LEAST));
+    fn pipes_are_charged_and_shrink_when_the_budget_is_exhausted() {
+        let budget = BufferBudget::new(2 * (WINDOW - UNCHARGED));
         let pipes: Vec<(PipeWriter, PipeReader)> = (0..3).map(|_| pipe(&budget, WINDOW)).collect();
-        let spaces: Vec<usize> = pipes.iter().map(|(giver, _)| giver.space()).collect();
-        assert_eq!(spaces, [WINDOW, WINDOW, LEAST]);
+        let spaces: Vec<usize> = pipes.iter().map(|(writer, _)| writer.space()).collect();
+        assert_eq!(spaces, [WINDOW, WINDOW, UNCHARGED]);
         drop(pipes);
-        assert!(budget.reserve(2 * (WINDOW - LEAST)), "given back");
-        budget.release(2 * (WINDOW - LEAST));
-        // What is held is charged, not what is announced; and it is given back as it is taken.
-        let (giver, taker) = pipe(&budget, 4 << 20);
-        giver.put(Bytes::from(vec![1; 2 * LEAST]));
-        assert!(giver.space() <= AHEAD, "a value of 4 MiB does not claim all");
-        taker.take();
-        assert!(budget.reserve(2 * (WINDOW - LEAST)));
+        assert!(
+            budget.reserve(2 * (WINDOW - UNCHARGED)),
+            "the bytes are released when the pipes are dropped"
+        );
+        budget.release(2 * (WINDOW - UNCHARGED));
+        // The charge follows the buffered bytes, not the announced length, and is released as bytes are taken out.
+        let (writer, reader) = pipe(&budget, 4 << 20);
+        writer.put(Bytes::from(vec![1; 2 * UNCHARGED]));
+        assert!(writer.space() <= CHARGED_AHEAD, "a value of 4 MiB does not claim the whole budget");
+        reader.take();
+        assert!(budget.reserve(2 * (WINDOW - UNCHARGED)));
     }
 }
--- a/src/state/planner.rs
+++ b/src/state/planner.rs
@@ -1,12 +1,13 @@
-//! The planner: owns the scheduler and all that is known of requests and attempts. It is fed what
-//! happened, hands all of a turn to the scheduler in one batch, and gives back what is to be done on
-//! sockets. It knows no wire: a request and a reply pass through it unread.
+//! The planner owns the scheduler and the state of all open requests and attempts. Its caller passes it
+//! inputs (what happened); in each turn the planner hands them to the scheduler as one batch and returns
+//! effects (what the caller must do on sockets). It is independent of the wire protocol: requests and
+//! replies pass through it without being inspected.
 
 use super::deadlines::{Deadlines, Lateness};
 use super::guard::{Guard, Repeats};
 use super::pool::{ChannelKind, LinkId, LinkSettings, Pick, Pool, PoolLimits, Sharing, SUPERSEDED_LINKS};
 use crate::interface::{
-    Action, Arrival, Effect as Harm, Ending, Event, ListKind, NodeEntry, NodeId, NodeState,
+    Action, Arrival, Effect as RequestEffect, Ending, Event, ListKind, NodeEntry, NodeId, NodeState,
 };
 use crate::interface::{Outcome, Reason, RequestId, Settings, SettingsError, ShardId, Time};
 use crate::rules::Scheduler;
@@ -14,27 +15,28 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
 
-/// What is spoken with clients and nodes. The planner only hands both types through.
+/// The protocol spoken with clients and nodes. The planner passes requests and replies on without inspecting them.
 pub trait Wire: 'static {
-    /// A request as a node is to get it. Cloned for each attempt, so it should be cheap to clone.
+    /// A request in the form in which it is sent to a node. It is cloned for each attempt, so cloning should be cheap.
     type Request: Clone + 'static;
-    /// A node's reply as the client is to get it.
+    /// A node's reply in the form in which the client gets it.
     type Reply: 'static;
 
-    /// Whether several attempts may be out on one link.
+    /// Whether several attempts may be in flight on one link at once.
     const SHARING: Sharing = Sharing::Multiplexed;
 
-    /// Which of a node's links can carry a request.
+    /// Returns the kind of link that can carry a request; see [`ChannelKind`].
     fn channel_kind(_: &Self::Request) -> ChannelKind {
         0
     }
 
-    /// Whether the request's body comes while it is sent on: its time is then not known before all of it has come.
+    /// Returns whether the request's body is forwarded to the node while it is still being received from the client.
+    /// The deadline of such a request is not known until its whole body has arrived.
     fn streams_body(_: &Self::Request) -> bool {
         false
     }
 
-    /// Whether some of such a body is gone, so that the request cannot be sent again.
+    /// Returns whether part of a streamed body has already been consumed, so that the request cannot be sent again.
     fn is_body_consumed(_: &Self::Request) -> bool {
         false
     }
@@ -43,49 +45,51 @@
 /// The final answer of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer<R> {
-    /// What a node replied.
+    /// The request was served; holds the node's reply.
     Served(R),
-    /// Refused: trying again is harmless, best after this time (0: no advice).
+    /// The request was refused without effect, so a retry is safe. Holds the advised delay before the retry (0: no
+    /// advice).
     Refused(Time),
-    /// Failed, with no promise about its effect.
+    /// The request failed; it may or may not have taken effect.
     Failed,
 }
 
-/// Where a front takes its final answers.
+/// The channel on which a front receives final answers.
 pub type AnswerSender<R> = UnboundedSender<(RequestId, Answer<R>)>;
 
-/// A request that a front has taken.
+/// A request that a front has accepted.
 pub struct ClientRequest<W: Wire> {
-    /// What the scheduler is told of it.
+    /// The description of the request for the scheduler.
     pub arrival: Arrival,
-    /// What a node is told.
+    /// The request as it is sent to a node.
     pub request: W::Request,
-    /// Where the final answer goes.
+    /// The channel for the final answer.
     pub back: AnswerSender<W::Reply>,
-    /// A session has taken it, and the guard knows of it.
+    /// Whether a client session accepted the request and has already registered it with the [`Guard`]; false for
+    /// requests that the broker makes itself.
     pub of_client: bool,
 }
 
-/// The times of an attempt.
+/// The time limits of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptTimes {
-    /// It is not begun at this time or later.
+    /// The attempt must begin before this time.
     pub begin_by: Time,
-    /// Its answer is no longer waited for from then on.
+    /// The time at which the attempt times out.
     pub until: Time,
 }
 
-/// An attempt: its request and its number.
+/// Identifies an attempt by its request and the number of the attempt, counted from 0.
 pub type AttemptId = (RequestId, u32);
 
-/// How an attempt ended, as its link saw it.
+/// The result of an attempt, as reported by its link.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptEnd<R> {
-    /// How it ended.
+    /// How the attempt ended.
     pub ending: Ending,
-    /// The node's reply, if it was served.
+    /// The node's reply, if the attempt was served.
     pub reply: Option<R>,
-    /// The figures on use that came along; see [`Outcome`].
+    /// See [`Outcome::volume_use`].
     pub volume_use: Option<f64>,
     /// See [`Outcome::served_elsewhere`].
     pub served_elsewhere: f64,
@@ -94,118 +98,122 @@
 }
 
 impl<R> AttemptEnd<R> {
-    /// An end without a reply or figures.
+    /// Returns the result of an attempt that got neither a reply nor usage figures.
     pub fn without_reply(ending: Ending) -> Self {
         AttemptEnd { ending, reply: None, volume_use: None, served_elsewhere: 0.0, util: None }
     }
 }
 
-/// A node of a list with its address.
+/// An entry of the node list, with the node's address.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedNode {
-    /// What the scheduler is told.
+    /// The entry as the scheduler gets it.
     pub entry: NodeEntry,
-    /// Where it listens.
+    /// The address at which the node listens.
     pub address: String,
 }
 
-/// How a link has ended.
+/// Why a link is down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkEnd {
-    /// It was up.
+    /// The connection was established and has ended.
     Ended,
-    /// It was up, and its node gave an answer that nothing had asked for: a second one to an earlier request.
+    /// The connection was established, and the broker closed it because the node sent an unsolicited answer: a second
+    /// answer to an earlier request.
     Repeated,
-    /// It never came up.
+    /// The connection could not be established.
     Never,
-    /// This machine could not open it, which says nothing about the node.
+    /// This machine could not open the connection (for example for want of a descriptor), which says nothing about the
+    /// node.
     Here,
 }
 
-/// What happened.
+/// An input of the planner: something that happened.
 pub enum Input<W: Wire> {
-    /// A front took a request.
+    /// A front accepted a request.
     Request(ClientRequest<W>),
-    /// A client is gone; nobody waits for this request any more.
+    /// The client of this request has disconnected, so the request needs no answer any more.
     ClientGone(RequestId),
-    /// An attempt on a link ended.
+    /// An attempt on this link ended.
     AttemptEnded(LinkId, AttemptId, AttemptEnd<W::Reply>),
-    /// The reply to an attempt on a link has begun and is passed on while it comes; the link is not free yet.
+    /// The reply to an attempt on this link has begun and is streamed to the client as it arrives. The link stays busy
+    /// until [`Input::ReplyFinished`].
     ReplyBegun(LinkId, AttemptId, AttemptEnd<W::Reply>),
-    /// Such a reply has come to its end.
+    /// A streamed reply on this link has ended, so the link can carry another attempt.
     ReplyFinished(LinkId),
-    /// All of a request's body has come; when its client gives up.
+    /// The whole body of this request has arrived. Holds the time at which its client gives up.
     BodyComplete(RequestId, Time),
     /// The connection of a link is up.
     LinkUp(LinkId),
-    /// Something has come on a link that belongs to what is not whole yet: for how long the next of it may be waited
-    /// for. Nothing, if all is whole or the link does not wait for its node.
+    /// Bytes have arrived on this link. If they end within an incomplete reply, holds the timeout for the next bytes;
+    /// `None` if every reply is complete or the link is not waiting for its node.
     PartialReply(LinkId, Option<Time>),
-    /// A link is over; all its attempts have ended before.
+    /// The link has ended. All its attempts were reported as ended before.
     LinkDown(LinkId, LinkEnd),
-    /// News of the nodes.
+    /// An update of the node list.
     Nodes(ListKind, Vec<ListedNode>),
-    /// A probe ended.
+    /// A probe of this node ended.
     Probed(NodeId, Ending, Option<f64>),
     /// New settings; see [`Event::Settings`].
     Settings(Box<Settings>, LinkSettings),
-    /// The part of all limits that is this process's; see [`Event::LimitShare`].
+    /// This process's share of all limits; see [`Event::LimitShare`].
     LimitShare(f64),
-    /// Nothing may be sent to any node, or it may again.
+    /// Sending to nodes is suspended (true) or allowed again (false).
     Suspended(bool),
-    /// The process ends: whatever it has taken is to have its answer by this time.
+    /// The process is stopping: every accepted request must have its answer by this time.
     AnswerAllBy(Time),
-    /// So late the process runs, in microseconds.
+    /// How late this process runs, in microseconds.
     HostLateness(Time),
-    /// So many links there may be from now on; if nothing, few more than there are.
+    /// The limit on the number of links from now on; `None` allows [`SUPERSEDED_LINKS`] more than are open now.
     LinkLimit(Option<usize>),
-    /// Whoever holds the other end is told once the turn is over that took all before this.
+    /// Requests a notification on this channel at the end of the turn that processes all inputs before this one.
     Barrier(oneshot::Sender<()>),
 }
 
-/// What is to be done, in this order.
+/// An effect of a turn. The caller carries out the effects in the order in which they were appended.
 #[derive(Debug)]
 pub enum Effect<W: Wire> {
-    /// Open a link to a node.
+    /// Open a link of this kind to the node at this address.
     Open(LinkId, NodeId, ChannelKind, String),
-    /// Send an attempt on a link, within these times.
+    /// Send an attempt on a link, within these time limits.
     Send(LinkId, AttemptId, AttemptTimes, W::Request),
-    /// Nobody wants an attempt on a link any more: it is not to begin.
+    /// Withdraw an attempt that is not needed any more: it must not begin if it has not begun yet.
     Withdraw(LinkId, AttemptId),
-    /// A link's node takes nothing more: what has not begun there is to be given back.
+    /// Send nothing more on a link, and give back the attempts that have not begun.
     Bar(LinkId),
-    /// Close a link without a word.
+    /// Close a link without reporting back.
     Close(LinkId),
-    /// Probe a node.
+    /// Probe the node at this address.
     Probe(NodeId, String),
 }
 
-/// What the deadlines of a planner stand for.
+/// The kinds of deadlines of a planner.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Deadline {
-    /// The scheduler wants a turn.
+    /// The scheduler's timer.
     Scheduler,
-    /// An attempt is not waited for any longer.
+    /// An attempt times out.
     Attempt(AttemptId),
-    /// A link may have been idle for too long.
+    /// The idle timeout of a link may have expired.
     Idle(LinkId),
-    /// A reply that began on a link should be whole by now.
-    Whole(LinkId),
+    /// The timeout for the next bytes of an incomplete reply on a link may have expired.
+    PartialReply(LinkId),
 }
 
-/// How long nothing may come of a reply that is passed on once its client's time is over: the client, and those whose answers
-/// stand behind, must see its end before they count as lost.
-const LATE_REPLY_REST: Time = 300_000;
+/// Longest pause between two parts of a streamed reply after its request's deadline, in microseconds. The client, and
+/// the clients whose answers are queued behind this reply, must see its end before their requests count as lost.
+const LATE_REPLY_PAUSE: Time = 300_000;
 
-/// How long a body may take to come while it is sent on. Its time counts from its last byte.
-const BODY: Time = 10_000_000;
+/// Longest time in which a streamed request body may arrive, in microseconds. The request's own deadline counts from
+/// the last byte of the body.
+const BODY_TIMEOUT: Time = 10_000_000;
 
 /// A request that has no final answer yet.
-struct Open<W: Wire> {
+struct OpenRequest<W: Wire> {
     request: W::Request,
     back: AnswerSender<W::Reply>,
     tries: u32,
-    /// How its last attempt ended.
+    /// How the last attempt of this request ended.
     last: Option<Ending>,
     shard: Option<ShardId>,
 }
@@ -218,13 +226,13 @@
     until: Time,
 }
 
-/// Requests without a final answer by the shard that they are for; none for new objects.
+/// Numbers of requests without a final answer by shard; the key is `None` for new objects, which have no shard yet.
 pub type OpenByShard = BTreeMap<Option<ShardId>, usize>;
 
-/// What has happened since the last count.
+/// Counters of the events since they were last read.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests taken.
+    /// Requests accepted.
     pub taken: u64,
     /// Requests served.
     pub served: u64,
@@ -232,46 +240,47 @@
     pub refused: u64,
     /// Requests failed.
     pub failed: u64,
-    /// Requests whose client left.
+    /// Requests whose client disconnected before the answer.
     pub gone: u64,
     /// Attempts sent.
     pub sent: u64,
     /// Links opened.
     pub opened: u64,
-    /// Attempts by ending, in the order of [`Ending`].
+    /// Attempts by how they ended, in the order of [`Ending`].
     pub endings: [u64; 9],
 }
 
-/// The planner of one broker and one fleet of nodes.
+/// The planner of one broker for one fleet of nodes.
 pub struct Planner<W: Wire> {
     scheduler: Scheduler,
-    requests: BTreeMap<RequestId, Open<W>>,
-    /// How many of them there are by shard; none for new objects. A shard without any has no entry.
+    requests: BTreeMap<RequestId, OpenRequest<W>>,
+    /// The number of `requests` by shard. A shard without requests has no entry.
     open_by_shard: OpenByShard,
     attempts: BTreeMap<AttemptId, Attempt>,
-    /// The same by the link they are on. A link without any has no entry.
-    on_link: BTreeMap<LinkId, BTreeSet<AttemptId>>,
+    /// The `attempts` by the link that carries them. A link without attempts has no entry.
+    attempts_on_link: BTreeMap<LinkId, BTreeSet<AttemptId>>,
     addresses: BTreeMap<NodeId, String>,
     pool: Pool,
     guard: Guard,
     deadlines: Deadlines<Deadline>,
-    /// Events for the scheduler: those of this turn, then those that carrying out its actions brought.
+    /// Events for the scheduler: first the events of this turn's inputs, then those that result from carrying out the
+    /// scheduler's actions.
     events: Vec<Event>,
     actions: Vec<Action>,
     counts: Counts,
-    /// Who wants to know that this turn is over.
-    reached: Vec<oneshot::Sender<()>>,
+    /// Channels to notify at the end of this turn; see [`Input::Barrier`].
+    barriers: Vec<oneshot::Sender<()>>,
 }
 
 impl<W: Wire> Planner<W> {
-    /// A planner that starts at `now` and knows nothing.
+    /// Creates a planner that starts at `now` without nodes or requests.
     pub fn new(settings: Settings, seed: u64, now: Time, limits: PoolLimits) -> Result<Self, SettingsError> {
         Ok(Planner {
             scheduler: Scheduler::new(settings, seed, now)?,
             requests: BTreeMap::new(),
             open_by_shard: OpenByShard::new(),
             attempts: BTreeMap::new(),
-            on_link: BTreeMap::new(),
+            attempts_on_link: BTreeMap::new(),
             addresses: BTreeMap::new(),
             pool: Pool::new(limits),
             guard: Guard::default(),
@@ -279,47 +288,48 @@
             events: Vec::new(),
             actions: Vec::new(),
             counts: Counts::default(),
-            reached: Vec::new(),
+            barriers: Vec::new(),
         })
     }
 
-    /// Takes note of how late this process has run lately, in microseconds.
+    /// Records how late this process has run recently, in microseconds.
     pub fn note_lateness(&mut self, late: Time) {
         self.pool.note_lateness(late);
     }
 
-    /// The guard that its sessions and links ask.
+    /// Returns the guard that the planner shares with its sessions and links.
     pub fn guard(&self) -> &Guard {
         &self.guard
     }
 
-    /// When the next turn is due at the latest.
+    /// Returns the time of the next deadline, at which a turn must take place, or `None` if no deadline is set.
     pub fn next_deadline(&self) -> Option<Time> {
         self.deadlines.first()
     }
 
-    /// How late deadlines were swept since the last call.
+    /// Returns by how much deadlines were processed late since the last call.
     pub fn take_lateness(&mut self) -> Lateness {
         self.deadlines.take_lateness()
     }
 
-    /// What has happened since the last call.
+    /// Returns the counters and resets them.
     pub fn take_counts(&mut self) -> Counts {
         std::mem::take(&mut self.counts)
     }
 
-    /// Requests without a final answer, attempts without an outcome, and links.
+    /// Returns the numbers of requests without a final answer, of attempts without an outcome, and of links.
     pub fn load(&self) -> (usize, usize, usize) {
         (self.requests.len(), self.attempts.len(), self.pool.len())
     }
 
-    /// Requests without a final answer, out and held, by shard.
+    /// Returns the numbers of requests without a final answer by shard, both those with an attempt in flight and those
+    /// that the scheduler holds back.
     pub fn open_by_shard(&self) -> &OpenByShard {
         &self.open_by_shard
     }
 
-    /// Takes a request off the books.
-    fn close(&mut self, id: RequestId) -> Option<Open<W>> {
+    /// Removes a request from the table of open requests and from the guard.
+    fn close_request(&mut self, id: RequestId) -> Option<OpenRequest<W>> {
         let open = self.requests.remove(&id)?;
         self.guard.settle(id);
         if let Some(count) = self.open_by_shard.get_mut(&open.shard) {
@@ -331,28 +341,28 @@
         Some(open)
     }
 
-    /// What the scheduler has looked at since the start; see [`Scheduler::work`].
+    /// Returns the scheduler's work counter since the start; see [`Scheduler::work`].
     pub fn work(&self) -> u64 {
         self.scheduler.work()
     }
 
-    /// Requests that wait for a node.
+    /// Returns the number of requests that wait for a node.
     pub fn waiting(&self) -> usize {
         self.scheduler.waiting()
     }
 
-    /// Requests refused since the start because this process ran late.
+    /// Returns the number of requests refused since the start because this process ran late.
     pub fn shed(&self) -> u64 {
         self.scheduler.shed()
     }
 
-    /// Nodes that have an address here, and nodes that the scheduler keeps a book of.
+    /// Returns the number of nodes with a known address and the number of nodes that the scheduler keeps a book for.
     pub fn known(&self) -> (usize, usize) {
         (self.addresses.len(), self.scheduler.known().0)
     }
 
-    /// One turn: takes all that has happened, sweeps the deadlines, lets the scheduler decide on everything
-    /// at once, and appends what is to be done.
+    /// Runs one turn: applies all inputs, processes the deadlines that are due, lets the scheduler decide on all
+    /// resulting events as one batch, and appends the effects.
     pub fn turn(
         &mut self,
         now: Time,
@@ -361,12 +371,14 @@
     ) {
         self.guard.sweep(now);
         for input in inputs {
-            self.input(now, input, effects);
+            self.apply_input(now, input, effects);
         }
         while let Some((_, deadline)) = self.deadlines.pop_due(now) {
             match deadline {
                 Deadline::Scheduler => self.events.push(Event::Timer),
-                Deadline::Attempt(tag) => self.give_up_attempt(now, tag, Ending::TimedOut, effects),
+                Deadline::Attempt(attempt_id) => {
+                    self.give_up_attempt(now, attempt_id, Ending::TimedOut, effects)
+                }
                 Deadline::Idle(link) => match self.pool.idle_expires_at(link) {
                     Some(at) if at > now => self.deadlines.insert(at, Deadline::Idle(link)),
                     Some(_) => {
@@ -375,42 +387,44 @@
                     }
                     None => {}
                 },
-                Deadline::Whole(link) => {
+                Deadline::PartialReply(link) => {
                     if self.pool.is_stalled(now, link) {
                         self.break_link(now, link, Ending::Reset, effects);
                     }
                 }
             }
         }
-        // Carrying out an action can bring an outcome at once, when there is no link to be had: the
-        // scheduler is told in the same turn. Each round uses up attempts, of which a request has few.
+        // Carrying out an action can produce an outcome immediately, when no link is available; the scheduler
+        // gets that outcome in the same turn. The loop ends because each round uses up attempts, and the number
+        // of attempts per request is limited.
         while !self.events.is_empty() {
             let events = std::mem::take(&mut self.events);
             let mut actions = std::mem::take(&mut self.actions);
             self.scheduler.handle(now, events, &mut actions);
             for action in actions.drain(..) {
-                self.act(now, action, effects);
+                self.carry_out(now, action, effects);
             }
             self.actions = actions;
         }
-        for waiting in self.reached.drain(..) {
-            // Whoever has stopped waiting need not be told.
-            let _ = waiting.send(());
+        for barrier in self.barriers.drain(..) {
+            // The send fails only if the receiver has stopped waiting, and then no notification is needed.
+            let _ = barrier.send(());
         }
     }
 
-    fn input(&mut self, now: Time, input: Input<W>, effects: &mut Vec<Effect<W>>) {
+    fn apply_input(&mut self, now: Time, input: Input<W>, effects: &mut Vec<Effect<W>>) {
         match input {
             Input::Request(ask) => {
                 let Arrival { id, class, due, shard, .. } = ask.arrival;
-                // One whose time is not known before all of its body has come is not late before.
+                // The deadline of a request with a streamed body is unknown until the whole body has arrived, so the
+                // guard must not count it as late before.
                 let due = if W::streams_body(&ask.request) { Time::MAX } else { due };
                 if !self.guard.admit(id, due, self.repeats(class), !ask.of_client) {
                     tracing::debug!(id, reason = "its client has gone", "not taken");
                     return;
                 }
-                let open = Open { request: ask.request, back: ask.back, tries: 0, last: None, shard };
-                self.close(ask.arrival.id);
+                let open = OpenRequest { request: ask.request, back: ask.back, tries: 0, last: None, shard };
+                self.close_request(ask.arrival.id);
                 self.requests.insert(ask.arrival.id, open);
                 *self.open_by_shard.entry(shard).or_default() += 1;
                 self.counts.taken += 1;
@@ -419,24 +433,27 @@
                 self.events.push(Event::Request(ask.arrival));
             }
             Input::ClientGone(id) => {
-                if self.close(id).is_some() {
+                if self.close_request(id).is_some() {
                     self.counts.gone += 1;
-                    // What has not begun is withdrawn whether or not the settings allow to cancel: nobody will know of it.
+                    // Attempts that have not begun are withdrawn even if the settings forbid cancelling: the node has
+                    // received nothing of them.
                     let out = self.attempts.range((id, 0)..=(id, u32::MAX));
-                    effects.extend(out.filter_map(|(tag, a)| Some(Effect::Withdraw(a.link?, *tag))));
+                    effects.extend(
+                        out.filter_map(|(attempt_id, a)| Some(Effect::Withdraw(a.link?, *attempt_id))),
+                    );
                     self.events.push(Event::ClientGone(id));
                 }
             }
-            Input::AttemptEnded(link, tag, end) => {
+            Input::AttemptEnded(link, attempt_id, end) => {
                 if let Some(at) = self.pool.answered(now, link) {
                     self.deadlines.insert(at, Deadline::Idle(link));
                 }
-                self.ended(now, tag, end);
+                self.settle_attempt(now, attempt_id, end);
             }
-            Input::ReplyBegun(link, tag, end) => {
-                let until = self.attempts.get(&tag).map_or(now, |attempt| attempt.until);
+            Input::ReplyBegun(link, attempt_id, end) => {
+                let until = self.attempts.get(&attempt_id).map_or(now, |attempt| attempt.until);
                 self.pool.set_streaming(link, Some(until));
-                self.ended(now, tag, end);
+                self.settle_attempt(now, attempt_id, end);
             }
             Input::ReplyFinished(link) => {
                 self.pool.set_streaming(link, None);
@@ -444,13 +461,13 @@
                     self.deadlines.insert(at, Deadline::Idle(link));
                 }
             }
-            Input::BodyComplete(id, due) => self.retime(now, id, due, true),
+            Input::BodyComplete(id, due) => self.set_due(now, id, due, true),
             Input::LinkUp(link) => self.pool.note_up(link),
-            Input::PartialReply(link, patience) => {
-                let until = patience.map(|patience| self.rest_of_reply_by(now, link, patience));
+            Input::PartialReply(link, timeout) => {
+                let until = timeout.map(|timeout| self.next_part_due(now, link, timeout));
                 self.pool.set_partial(link, until);
                 if let Some(until) = until {
-                    self.deadlines.insert(until, Deadline::Whole(link));
+                    self.deadlines.insert(until, Deadline::PartialReply(link));
                 }
             }
             Input::LinkDown(link, down) => {
@@ -463,12 +480,13 @@
             }
             Input::Suspended(suspended) => {
                 if suspended {
-                    // What has not begun is given back; only the links know what they have written.
+                    // Only the links know which attempts they have begun to write, so each link with attempts gives
+                    // back the ones that have not begun.
                     effects.extend(self.pool.busy().map(Effect::Bar));
                 }
                 self.events.push(Event::Suspended(suspended));
             }
-            Input::AnswerAllBy(at) => self.end_by(at),
+            Input::AnswerAllBy(at) => self.answer_all_by(at),
             Input::HostLateness(late) => self.events.push(Event::HostLateness(late)),
             Input::Nodes(kind, members) => {
                 let mut entries = Vec::with_capacity(members.len());
@@ -481,8 +499,9 @@
                             self.pool.remove(now, link, false);
                             effects.push(Effect::Close(link));
                         }
-                        // What waits there, for a connection or behind something else, would be written late: nothing
-                        // new may go there. Only the link knows what it has written by now.
+                        // Attempts that wait on such a link, for its connection or behind another attempt, would reach
+                        // the node after it stopped accepting work. Only the link knows which attempts it has already
+                        // begun to write, so it gives back the others.
                         let busy = self.pool.busy_of(member.entry.node).into_iter();
                         effects.extend(busy.map(Effect::Bar));
                     }
@@ -506,43 +525,43 @@
                 }
             }
             Input::LimitShare(part) => self.events.push(Event::LimitShare(part)),
-            Input::Barrier(waiting) => self.reached.push(waiting),
+            Input::Barrier(barrier) => self.barriers.push(barrier),
         }
     }
 
-    /// Until when the next part of a reply is waited for on a link whose node may be silent for this long. Once the client's time
-    /// is over a value that is passed on must not stand still for longer than a short one may.
-    fn rest_of_reply_by(&self, now: Time, link: LinkId, patience: Time) -> Time {
-        let end = self.pool.streams_until(link).map_or(Time::MAX, |due| due.max(now) + LATE_REPLY_REST);
-        end.min(now + patience)
+    /// Returns the time by which the next part of a reply must arrive on a link with this timeout. After the request's
+    /// deadline a streamed reply gets at most [`LATE_REPLY_PAUSE`] between two parts.
+    fn next_part_due(&self, now: Time, link: LinkId, timeout: Time) -> Time {
+        let end = self.pool.streams_until(link).map_or(Time::MAX, |due| due.max(now) + LATE_REPLY_PAUSE);
+        end.min(now + timeout)
     }
 
-    /// No attempt is waited for beyond this time.
-    fn end_by(&mut self, at: Time) {
-        for (tag, attempt) in self.attempts.iter_mut().filter(|(_, attempt)| attempt.until > at) {
-            self.deadlines.remove(attempt.until, Deadline::Attempt(*tag));
-            self.deadlines.insert(at, Deadline::Attempt(*tag));
+    /// Moves the timeout of every attempt that would time out after `at` to `at`, and passes `at` to the scheduler.
+    fn answer_all_by(&mut self, at: Time) {
+        for (attempt_id, attempt) in self.attempts.iter_mut().filter(|(_, attempt)| attempt.until > at) {
+            self.deadlines.remove(attempt.until, Deadline::Attempt(*attempt_id));
+            self.deadlines.insert(at, Deadline::Attempt(*attempt_id));
             attempt.until = at;
         }
         self.events.push(Event::AnswerAllBy(at));
     }
 
-    /// What repeats of a class do.
+    /// Returns whether requests of a class may run twice without harm. An unknown class counts as harmful.
     fn repeats(&self, class: usize) -> Repeats {
         match self.scheduler.effect(class) {
-            Some(Harm::Unsafe) | None => Repeats::Harmful,
-            Some(Harm::Safe | Harm::Keyed(_)) => Repeats::Harmless,
+            Some(RequestEffect::Unsafe) | None => Repeats::Harmful,
+            Some(RequestEffect::Safe | RequestEffect::Keyed(_)) => Repeats::Harmless,
         }
     }
 
-    /// Settles an attempt. What a link reports of one that is settled already is dropped.
-    fn ended(&mut self, now: Time, tag: AttemptId, end: AttemptEnd<W::Reply>) {
-        let Some(attempt) = self.attempts.remove(&tag) else { return };
-        self.leave_link(attempt.link, tag);
-        self.deadlines.remove(attempt.until, Deadline::Attempt(tag));
+    /// Records the end of an attempt. A further report on an attempt that has already ended is ignored.
+    fn settle_attempt(&mut self, now: Time, attempt_id: AttemptId, end: AttemptEnd<W::Reply>) {
+        let Some(attempt) = self.attempts.remove(&attempt_id) else { return };
+        self.leave_link(attempt.link, attempt_id);
+        self.deadlines.remove(attempt.until, Deadline::Attempt(attempt_id));
         self.counts.endings[end.ending as usize] += 1;
-        let (id, number) = tag;
-        self.guard.ended(tag, end.ending);
+        let (id, number) = attempt_id;
+        self.guard.ended(attempt_id, end.ending);
         let (waited, link) = (now - attempt.sent, attempt.link);
         tracing::debug!(id, number, node = attempt.node, link, ending = ?end.ending, waited, "attempt");
         if let Some(open) = self.requests.get_mut(&id) {
@@ -554,9 +573,9 @@
         }
         // The first served attempt is the final answer.
         if let Some(reply) = end.reply.filter(|_| end.ending == Ending::Served) {
-            if let Some(open) = self.close(id) {
+            if let Some(open) = self.close_request(id) {
                 self.counts.served += 1;
-                // A front that is gone needs no answer.
+                // The send fails only if the front has gone, and then no answer is needed.
                 let _ = open.back.send((id, Answer::Served(reply)));
             }
         }
@@ -573,48 +592,55 @@
         }));
     }
 
-    /// Stops waiting for an attempt. Its link is closed, which tells the node; but not while others share
-    /// it and nobody waits for the request any more, since they would be broken for nothing. Where the
-    /// request goes on, the link goes in any case: a further attempt beside one on an open connection would
-    /// be a second copy.
-    fn give_up_attempt(&mut self, now: Time, tag: AttemptId, ending: Ending, effects: &mut Vec<Effect<W>>) {
-        let Some(attempt) = self.attempts.get(&tag) else { return };
+    /// Abandons an attempt and closes its link, which makes the node stop working on it. The link stays open if other
+    /// attempts share it and the request itself is over, since closing it would break them for nothing. If the request
+    /// goes on, the link is closed in any case: a further attempt while this one is still open at the node would be a
+    /// second copy of the request.
+    fn give_up_attempt(
+        &mut self,
+        now: Time,
+        attempt_id: AttemptId,
+        ending: Ending,
+        effects: &mut Vec<Effect<W>>,
+    ) {
+        let Some(attempt) = self.attempts.get(&attempt_id) else { return };
         let link = attempt.link;
-        self.ended(now, tag, AttemptEnd::without_reply(ending));
+        self.settle_attempt(now, attempt_id, AttemptEnd::without_reply(ending));
         let Some(link) = link else { return };
-        effects.push(Effect::Withdraw(link, tag));
+        effects.push(Effect::Withdraw(link, attempt_id));
         if self.pool.streams_until(link).is_some() {
-            // A reply before it is still passed on. Its request has no further attempt: its time is over.
+            // An earlier reply is still being streamed on this link, so the link stays open. The abandoned request gets
+            // no further attempt, since its deadline has passed.
             return;
         }
-        let shared = self.on_link.contains_key(&link);
-        if shared && !self.requests.contains_key(&tag.0) {
+        let shared = self.attempts_on_link.contains_key(&link);
+        if shared && !self.requests.contains_key(&attempt_id.0) {
             return;
         }
         self.break_link(now, link, Ending::Reset, effects);
     }
 
-    /// Closes a link under whatever is out on it.
+    /// Closes a link and ends all attempts on it with `ending`.
     fn break_link(&mut self, now: Time, link: LinkId, ending: Ending, effects: &mut Vec<Effect<W>>) {
         if self.pool.remove(now, link, false) {
             effects.push(Effect::Close(link));
-            for tag in self.on_link.remove(&link).unwrap_or_default() {
-                self.ended(now, tag, AttemptEnd::without_reply(ending));
+            for attempt_id in self.attempts_on_link.remove(&link).unwrap_or_default() {
+                self.settle_attempt(now, attempt_id, AttemptEnd::without_reply(ending));
             }
         }
     }
 
-    /// An attempt is on its link no longer.
-    fn leave_link(&mut self, link: Option<LinkId>, tag: AttemptId) {
+    /// Removes an attempt from the table of attempts by link.
+    fn leave_link(&mut self, link: Option<LinkId>, attempt_id: AttemptId) {
         let Some(link) = link else { return };
-        let Some(tags) = self.on_link.get_mut(&link) else { return };
-        tags.remove(&tag);
-        if tags.is_empty() {
-            self.on_link.remove(&link);
+        let Some(attempt_ids) = self.attempts_on_link.get_mut(&link) else { return };
+        attempt_ids.remove(&attempt_id);
+        if attempt_ids.is_empty() {
+            self.attempts_on_link.remove(&link);
         }
     }
 
-    fn act(&mut self, now: Time, action: Action, effects: &mut Vec<Effect<W>>) {
+    fn carry_out(&mut self, now: Time, action: Action, effects: &mut Vec<Effect<W>>) {
         match action {
             Action::Send { id, node, begin_by, until } => {
                 self.send(now, id, node, AttemptTimes { begin_by, until }, effects)
@@ -629,7 +655,7 @@
                 None => self.events.push(Event::Probed(node, Ending::Unreachable, None)),
             },
             Action::Timer(after) => self.deadlines.insert(now + after, Deadline::Scheduler),
-            // Whoever drives this planner keeps the list up to date by an account of its own (`state/told.rs`).
+            // The owner of this planner keeps the node list up to date by itself (`state/told.rs`).
             Action::Subscribe => {}
             Action::Log(text) => tracing::info!("{text}"),
         }
@@ -640,26 +666,26 @@
         now: Time,
         id: RequestId,
         node: NodeId,
-        span: AttemptTimes,
+        times: AttemptTimes,
         effects: &mut Vec<Effect<W>>,
     ) {
-        let until = span.until;
+        let until = times.until;
         let Some(open) = self.requests.get_mut(&id) else { return };
-        let tag = (id, open.tries);
+        let attempt_id = (id, open.tries);
         open.tries += 1;
         if let Some(after) = open.last {
-            tracing::debug!(id, attempt = tag.1, node, ?after, "retry");
+            tracing::debug!(id, attempt = attempt_id.1, node, ?after, "retry");
         }
         self.counts.sent += 1;
         let request = open.request.clone();
-        let lane = W::channel_kind(&request);
+        let kind = W::channel_kind(&request);
         let mut attempt = Attempt { node, link: None, sent: now, until };
         let Some(address) = self.addresses.get(&node) else {
-            self.attempts.insert(tag, attempt);
-            self.ended(now, tag, AttemptEnd::without_reply(Ending::Unreachable));
+            self.attempts.insert(attempt_id, attempt);
+            self.settle_attempt(now, attempt_id, AttemptEnd::without_reply(Ending::Unreachable));
             return;
         };
-        let pick = self.pool.pick(now, node, lane, W::SHARING);
+        let pick = self.pool.pick(now, node, kind, W::SHARING);
         if let Pick::Replace(_, over) = pick {
             effects.push(Effect::Close(over));
         }
@@ -667,51 +693,51 @@
             Pick::Use(link) => link,
             Pick::Open(link) | Pick::Replace(link, _) => {
                 self.counts.opened += 1;
-                effects.push(Effect::Open(link, node, lane, address.clone()));
+                effects.push(Effect::Open(link, node, kind, address.clone()));
                 link
             }
             Pick::Full => {
-                // All that this process may open are in use: that says nothing about the node.
-                self.attempts.insert(tag, attempt);
-                self.ended(now, tag, AttemptEnd::without_reply(Ending::NoLink));
+                // The link limit of this process is reached, which says nothing about the node.
+                self.attempts.insert(attempt_id, attempt);
+                self.settle_attempt(now, attempt_id, AttemptEnd::without_reply(Ending::NoLink));
                 return;
             }
         };
         attempt.link = Some(link);
-        self.attempts.insert(tag, attempt);
-        self.on_link.entry(link).or_default().insert(tag);
-        self.deadlines.insert(until, Deadline::Attempt(tag));
-        let flows = W::streams_body(&request);
-        effects.push(Effect::Send(link, tag, span, request));
-        if flows {
-            self.retime(now, id, until.max(now + BODY), false);
+        self.attempts.insert(attempt_id, attempt);
+        self.attempts_on_link.entry(link).or_default().insert(attempt_id);
+        self.deadlines.insert(until, Deadline::Attempt(attempt_id));
+        let streams_body = W::streams_body(&request);
+        effects.push(Effect::Send(link, attempt_id, times, request));
+        if streams_body {
+            self.set_due(now, id, until.max(now + BODY_TIMEOUT), false);
         }
     }
 
-    /// Moves the end of a request whose body is sent on while it comes, and of its attempt. What it waits for its
-    /// node counts from the body's last byte: only then does the node begin.
-    fn retime(&mut self, now: Time, id: RequestId, due: Time, whole: bool) {
+    /// Sets a new deadline for a request with a streamed body and for its attempts. Once the body is `complete`, the
+    /// waiting time for the node counts from now, since the node begins only after the last byte of the body.
+    fn set_due(&mut self, now: Time, id: RequestId, due: Time, complete: bool) {
         let Some(open) = self.requests.get(&id) else { return };
         self.events.push(Event::BodyProgress(id, due, W::is_body_consumed(&open.request)));
-        for (tag, attempt) in self.attempts.range_mut((id, 0)..=(id, u32::MAX)) {
-            self.deadlines.remove(attempt.until, Deadline::Attempt(*tag));
-            self.deadlines.insert(due, Deadline::Attempt(*tag));
+        for (attempt_id, attempt) in self.attempts.range_mut((id, 0)..=(id, u32::MAX)) {
+            self.deadlines.remove(attempt.until, Deadline::Attempt(*attempt_id));
+            self.deadlines.insert(due, Deadline::Attempt(*attempt_id));
             attempt.until = due;
-            if whole {
+            if complete {
                 attempt.sent = now;
             }
         }
     }
 
     fn answer(&mut self, id: RequestId, reason: Reason, answer: Answer<W::Reply>) {
-        let Some(open) = self.close(id) else { return };
+        let Some(open) = self.close_request(id) else { return };
         let refused = matches!(answer, Answer::Refused(_));
         tracing::debug!(id, ?reason, tries = open.tries, refused, "given up");
         match answer {
             Answer::Refused(_) => self.counts.refused += 1,
             _ => self.counts.failed += 1,
         }
-        // A front that is gone needs no answer.
+        // The send fails only if the front has gone, and then no answer is needed.
         let _ = open.back.send((id, answer));
     }
 }
--- a/src/state/pool.rs
+++ b/src/state/pool.rs
@@ -1,121 +1,126 @@
-//! The links to nodes: which one carries an attempt, when an idle one is let go.
+//! The pool of links to nodes: chooses the link for each attempt and closes idle links.
 
 use crate::interface::{NodeId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Number of a link, never used twice.
+/// The number of a link; numbers are never reused.
 pub type LinkId = u64;
-/// What links of one node are told apart by, where a connection serves only some of its requests.
+/// The kind of a link, for protocols in which one connection serves only part of the requests to a node (an NBD
+/// connection serves one export). An attempt is sent only on a link of its kind.
 pub type ChannelKind = u32;
 
-/// What the links are bound by.
+/// The limits of a pool.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolLimits {
-    /// Links to all nodes together: each is a descriptor.
+    /// Maximum number of links to all nodes together; each link takes a file descriptor.
     pub links: usize,
-    /// Links to one node, which holds only so many connections for all brokers.
+    /// Maximum number of links to one node, which accepts a limited number of connections from all brokers together.
     pub links_per_node: usize,
-    /// What the settings say.
+    /// The limits that come from the settings.
     pub terms: LinkSettings,
 }
 
-/// What settings say of links.
+/// The settings for links.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LinkSettings {
-    /// Attempts on one link at once.
+    /// Maximum number of attempts in flight on one link.
     pub multiplex: usize,
-    /// An idle link is let go after this: well before the node closes it, since a request that crosses
-    /// the node's close ends as a reset, which may have run.
+    /// Idle timeout of a link, in microseconds. It must be well below the node's own idle timeout: a request that crosses
+    /// the node's close ends as a reset, after which it may have run.
     pub idle: Time,
 }
 
-/// Links that a process may still open which another one has superseded: those that it has may break.
+/// Number of further links that a process may open after another process has superseded it, to replace links that
+/// break.
 pub const SUPERSEDED_LINKS: usize = 16;
 
-/// A link as the pool knows it.
+/// The state of a link.
 #[derive(Debug)]
 struct Link {
     node: NodeId,
-    lane: ChannelKind,
-    /// Attempts whose answers are still to come on it, withdrawn ones too.
-    out: usize,
+    kind: ChannelKind,
+    /// Number of attempts whose answers are outstanding, including withdrawn attempts.
+    in_flight: usize,
     idle_since: Option<Time>,
-    /// Until when the next part is waited for of a reply that is not whole.
-    partial: Option<Time>,
-    /// A reply is passed on while it comes, and its client waits so long: no request is put behind it, which would wait for that
-    /// client.
+    /// The time by which the next part of an incomplete reply must arrive, if there is an incomplete reply.
+    partial_until: Option<Time>,
+    /// The deadline of the client whose reply is being streamed on this link, if one is. No request is queued behind such
+    /// a reply, since it would have to wait for that client to read.
     streams_until: Option<Time>,
     up: bool,
 }
 
-/// Where an attempt goes.
+/// The link chosen for an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Pick {
-    /// Onto a link that is to be opened, in the place of an idle one of another node that is to be closed: as many are
-    /// open as there may be.
+    /// A new link (first number) that the caller must open, in key of an idle link of another node (second number) that
+    /// the caller must close, since the link limit is reached.
     Replace(LinkId, LinkId),
-    /// Onto a link that is there.
+    /// An existing link.
     Use(LinkId),
-    /// Onto a link that is to be opened first.
+    /// A new link that the caller must open.
     Open(LinkId),
-    /// Nowhere: every link is full and no further one may be opened.
+    /// No link: every usable link is full and no further link may be opened.
     Full,
 }
 
-/// What may be out on one link at once.
+/// Whether attempts may share a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sharing {
-    /// Several attempts: answers name what they answer.
+    /// Several attempts may be in flight on one link, since each answer identifies the attempt that it belongs to.
     Multiplexed,
-    /// One attempt.
+    /// At most one attempt may be in flight on a link.
     Exclusive,
 }
 
-/// What remains of a node's connection cap once it has shown itself.
+/// A temporary limit on links, derived from a connection that could not be opened.
 #[derive(Debug, Clone, Copy)]
 struct Cap {
     links: usize,
     until: Time,
 }
 
-/// How long a link rests after a reply at least, in microseconds: what a node sends beyond its reply comes right behind it,
-/// a second answer some milliseconds later, and must not be taken for the reply to the next request.
-const LEAST_REST: Time = 20_000;
-/// How long it rests at most while there are others, in microseconds.
-const MOST_REST: Time = 100_000;
-/// For each microsecond that this process ran late lately a link rests so many longer: on a busy machine both the node that
-/// sends a second answer and whoever reads it are held up, one after the other.
-const REST_FOR_LATENESS: Time = 8;
-/// How long links rest where nodes are known to answer twice, in microseconds: a node may stand still for 0.2 s between both
-/// answers, and what it then says must not be taken for the reply to a request that was written meanwhile.
-const REST_AMONG_REPEATS: Time = 250_000;
-/// For how long nodes are known to answer twice after one of them did, in microseconds.
+/// Minimum rest of a link after a reply before it is used again, in microseconds. Bytes that a node sends beyond its
+/// reply arrive directly behind it, and a second answer arrives some milliseconds later; neither may be taken for the
+/// reply to the next request.
+const MIN_REST: Time = 20_000;
+/// Maximum rest of a link after a reply while another link can be used or opened, in microseconds.
+const MAX_REST: Time = 100_000;
+/// Additional rest of a link for each microsecond by which this process ran late recently, in microseconds. On a busy
+/// machine both the node that sends a second answer and the process that reads it are delayed, and the delays add up.
+const REST_PER_LATENESS: Time = 8;
+/// Rest of a link while nodes are known to answer twice, in microseconds. A node may stall for 0.2 s between its two
+/// answers, and the second must not be taken for the reply to a request that was written meanwhile.
+const REST_AFTER_REPEATS: Time = 250_000;
+/// How long after a repeated answer nodes are treated as known to answer twice, in microseconds.
 const REPEATS_MEMORY: Time = 60_000_000;
-/// For how long a connection that this machine could not open is taken as all that it can hold.
+/// How long after this machine failed to open a connection the number of links at that time stays the limit, in
+/// microseconds.
 const OWN_CAP_MEMORY: Time = 200_000;
-/// For how long a refused connect, while others are up, is taken as the node's cap on connections.
+/// How long a connection that could not be established, while other links to the node are up, limits the links to that
+/// node, in microseconds.
 const CAP_MEMORY: Time = 5_000_000;
 
-/// All links.
+/// All links of a planner.
 #[derive(Debug)]
 pub struct Pool {
     limits: PoolLimits,
     links: BTreeMap<LinkId, Link>,
     by_node: BTreeMap<(NodeId, ChannelKind), Vec<LinkId>>,
     caps: BTreeMap<NodeId, Cap>,
-    /// Idle links, those unused for longest first.
+    /// Idle links in the order in which they became idle.
     idle: BTreeSet<(Time, LinkId)>,
-    /// What this machine has shown that it can hold.
+    /// The temporary limit on all links after this machine failed to open one.
     own_cap: Option<Cap>,
-    /// How long links rest after a reply, while there are others.
+    /// How long a link rests after a reply while another link can be used or opened.
     rest: Time,
-    /// Until when nodes are known to answer twice, if one did.
+    /// The time until which nodes are treated as known to answer twice, if one has done so.
     repeats_until: Option<Time>,
     next: LinkId,
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(limits: PoolLimits) -> Self {
         Pool {
             limits,
@@ -124,68 +129,69 @@
             caps: BTreeMap::new(),
             idle: BTreeSet::new(),
             own_cap: None,
-            rest: LEAST_REST,
+            rest: MIN_REST,
             repeats_until: None,
             next: 0,
         }
     }
 
-    /// Chooses the link for one more attempt and counts the attempt on it. Answers queue behind one another
-    /// on a link, so each attempt has one of its own while there are links; the one used last is taken, so
-    /// that what a busy spell opened ages out.
-    /// Only where answers name what they answer may attempts share a link: else the second answer to one would be taken
-    /// for the answer to the next.
-    pub fn pick(&mut self, now: Time, node: NodeId, lane: ChannelKind, sharing: Sharing) -> Pick {
+    /// Chooses the link for one more attempt and counts the attempt on it. Answers on a link queue behind one another, so
+    /// each attempt gets a link of its own while idle links exist or further ones may be opened. Of the idle links the
+    /// most recently used is chosen, so that links opened during a load peak reach their idle timeout.
+    ///
+    /// Attempts share a link only with [`Sharing::Multiplexed`]: without identified answers, a second answer to one
+    /// attempt would be taken for the answer to the next.
+    pub fn pick(&mut self, now: Time, node: NodeId, kind: ChannelKind, sharing: Sharing) -> Pick {
         let repeats = self.repeats_until.is_some_and(|until| until > now);
-        let (rest, least_rest) =
-            if repeats { (REST_AMONG_REPEATS, REST_AMONG_REPEATS) } else { (self.rest, LEAST_REST) };
-        let ids = self.by_node.entry((node, lane)).or_default();
+        let (rest, min_rest) =
+            if repeats { (REST_AFTER_REPEATS, REST_AFTER_REPEATS) } else { (self.rest, MIN_REST) };
+        let ids = self.by_node.entry((node, kind)).or_default();
         let links = &mut self.links;
-        // Nor is one taken on which something has come that nobody asked for.
-        let quiet = |link: &Link| link.partial.is_none().then_some(link.idle_since).flatten();
-        let settled = |id: &LinkId| quiet(&links[id]).is_some_and(|since| now - since >= rest);
-        let idle = ids.iter().copied().filter(settled).max_by_key(|id| links[id].idle_since);
+        // A link with unsolicited bytes is not used either: they show as a partial reply.
+        let quiet = |link: &Link| link.partial_until.is_none().then_some(link.idle_since).flatten();
+        let rested = |id: &LinkId| quiet(&links[id]).is_some_and(|since| now - since >= rest);
+        let idle = ids.iter().copied().filter(rested).max_by_key(|id| links[id].idle_since);
         let cap = self.caps.get(&node).filter(|c| c.until > now).map_or(usize::MAX, |c| c.links);
         let own_cap = self.own_cap.filter(|c| c.until > now).map_or(usize::MAX, |c| c.links);
-        let room_at_node = ids.len() < self.limits.links_per_node.min(cap);
-        if let (None, true) = (idle, room_at_node) {
+        let node_has_capacity = ids.len() < self.limits.links_per_node.min(cap);
+        if let (None, true) = (idle, node_has_capacity) {
             let full = links.len() >= self.limits.links.min(own_cap);
             let other = |(_, id): &&(Time, LinkId)| links[id].node != node;
-            let over = full.then(|| self.idle.iter().find(other).map(|(_, id)| *id));
-            if over != Some(None) {
+            let replaced = full.then(|| self.idle.iter().find(other).map(|(_, id)| *id));
+            if replaced != Some(None) {
                 let id = self.next;
                 self.next += 1;
                 ids.push(id);
                 let link = Link {
                     node,
-                    lane,
-                    out: 1,
+                    kind,
+                    in_flight: 1,
                     idle_since: None,
-                    partial: None,
+                    partial_until: None,
                     streams_until: None,
                     up: false,
                 };
                 links.insert(id, link);
-                let Some(Some(over)) = over else { return Pick::Open(id) };
-                self.remove(now, over, false);
-                return Pick::Replace(id, over);
+                let Some(Some(replaced)) = replaced else { return Pick::Open(id) };
+                self.remove(now, replaced, false);
+                return Pick::Replace(id, replaced);
             }
         }
         let fits = |id: &LinkId| match sharing {
             Sharing::Multiplexed => links[id].streams_until.is_none(),
-            Sharing::Exclusive => quiet(&links[id]).is_some_and(|since| now - since >= least_rest),
+            Sharing::Exclusive => quiet(&links[id]).is_some_and(|since| now - since >= min_rest),
         };
-        let least =
-            || ids.iter().copied().filter(fits).min_by_key(|id| (links[id].out, links[id].idle_since));
-        let Some(id) = idle.or_else(least) else {
+        let least_busy =
+            || ids.iter().copied().filter(fits).min_by_key(|id| (links[id].in_flight, links[id].idle_since));
+        let Some(id) = idle.or_else(least_busy) else {
             if ids.is_empty() {
-                self.by_node.remove(&(node, lane));
+                self.by_node.remove(&(node, kind));
             }
             return Pick::Full;
         };
         match links.get_mut(&id) {
-            Some(link) if link.out < self.limits.terms.multiplex => {
-                link.out += 1;
+            Some(link) if link.in_flight < self.limits.terms.multiplex => {
+                link.in_flight += 1;
                 if let Some(since) = link.idle_since.take() {
                     self.idle.remove(&(since, id));
                 }
@@ -195,12 +201,12 @@
         }
     }
 
-    /// Notes that an answer came, so that one attempt fewer is on the link. When that leaves the link idle
-    /// it gives the time at which to look whether it still is.
+    /// Records that an attempt on the link has been answered. If the link is idle now, returns the time at which to check
+    /// whether its idle timeout has expired.
     pub fn answered(&mut self, now: Time, id: LinkId) -> Option<Time> {
         let link = self.links.get_mut(&id)?;
-        link.out = link.out.saturating_sub(1);
-        if link.out > 0 {
+        link.in_flight = link.in_flight.saturating_sub(1);
+        if link.in_flight > 0 {
             return None;
         }
         if let Some(since) = link.idle_since.replace(now) {
@@ -210,115 +216,118 @@
         Some(now + self.limits.terms.idle)
     }
 
-    /// When an idle link will have been so for its whole time.
+    /// Returns when the idle timeout of a link expires, or `None` if the link is not idle.
     pub fn idle_expires_at(&self, id: LinkId) -> Option<Time> {
         self.links.get(&id)?.idle_since.map(|since| since + self.limits.terms.idle)
     }
 
-    /// Notes that a reply is passed on while it comes, and how long its client waits, or that none is.
+    /// Records the deadline of the client whose reply is being streamed on a link, or `None` if no reply is.
     pub fn set_streaming(&mut self, id: LinkId, until: Option<Time>) {
         if let Some(link) = self.links.get_mut(&id) {
             link.streams_until = until;
         }
     }
 
-    /// How long the client waits of a reply that is passed on while it comes, if one is.
+    /// Returns the deadline of the client whose reply is being streamed on a link, if one is.
     pub fn streams_until(&self, id: LinkId) -> Option<Time> {
         self.links.get(&id).and_then(|l| l.streams_until)
     }
 
-    /// Notes until when the next part of a reply is waited for, or that none is.
+    /// Records the time by which the next part of an incomplete reply must arrive, or `None` if no reply is incomplete.
     pub fn set_partial(&mut self, id: LinkId, at: Option<Time>) {
         if let Some(link) = self.links.get_mut(&id) {
-            link.partial = at;
+            link.partial_until = at;
         }
     }
 
-    /// Whether a link is in the middle of a reply whose next part has been waited for in vain.
+    /// Returns whether the next part of an incomplete reply on a link has not arrived in time.
     pub fn is_stalled(&self, now: Time, id: LinkId) -> bool {
-        self.links.get(&id).and_then(|l| l.partial).is_some_and(|until| until <= now)
+        self.links.get(&id).and_then(|l| l.partial_until).is_some_and(|until| until <= now)
     }
 
-    /// Notes that a link's connection is there.
+    /// Records that the connection of a link is established.
     pub fn note_up(&mut self, id: LinkId) {
         if let Some(link) = self.links.get_mut(&id) {
             link.up = true;
         }
     }
 
-    /// Forgets a link. One that never came up while others of its node are shows the node's cap.
-    pub fn remove(&mut self, now: Time, id: LinkId, refused: bool) -> bool {
+    /// Removes a link; returns false if the link is unknown. If its connection could not be established
+    /// (`connect_failed`) while other links to the node are up, their number becomes the node's link limit for a while.
+    pub fn remove(&mut self, now: Time, id: LinkId, connect_failed: bool) -> bool {
         let Some(link) = self.links.remove(&id) else { return false };
         if let Some(since) = link.idle_since {
             self.idle.remove(&(since, id));
         }
-        let place = (link.node, link.lane);
-        let ids = self.by_node.entry(place).or_default();
+        let key = (link.node, link.kind);
+        let ids = self.by_node.entry(key).or_default();
         ids.retain(|i| *i != id);
         let others = ids.iter().filter(|i| self.links.get(i).is_some_and(|l| l.up)).count();
-        if refused && !link.up && others > 0 {
+        if connect_failed && !link.up && others > 0 {
             self.caps.retain(|_, cap| cap.until > now);
             self.caps.insert(link.node, Cap { links: others, until: now + CAP_MEMORY });
         }
         if ids.is_empty() {
-            self.by_node.remove(&place);
+            self.by_node.remove(&key);
         }
         true
     }
 
-    /// This machine could not open a link: it can hold no more than there are for a while.
+    /// Records that this machine could not open a link: for a while no more links may be opened than exist now.
     pub fn note_open_failed(&mut self, now: Time) {
         self.own_cap = Some(Cap { links: self.links.len().max(1), until: now + OWN_CAP_MEMORY });
     }
 
-    /// The idle links of a node that takes no more work.
+    /// Returns the links of a node that carry no attempt.
     pub fn idle_of(&self, node: NodeId) -> Vec<LinkId> {
-        self.of(node, |link| link.out == 0)
+        self.of(node, |link| link.in_flight == 0)
     }
 
-    /// The links of a node that attempts are on.
+    /// Returns the links of a node that carry attempts.
     pub fn busy_of(&self, node: NodeId) -> Vec<LinkId> {
-        self.of(node, |link| link.out > 0)
+        self.of(node, |link| link.in_flight > 0)
     }
 
-    /// All links that attempts are on.
+    /// Returns all links that carry attempts.
     pub fn busy(&self) -> impl Iterator<Item = LinkId> + '_ {
-        self.links.iter().filter(|(_, link)| link.out > 0).map(|(id, _)| *id)
+        self.links.iter().filter(|(_, link)| link.in_flight > 0).map(|(id, _)| *id)
     }
 
     fn of(&self, node: NodeId, fits: impl Fn(&Link) -> bool) -> Vec<LinkId> {
-        let lanes = self.by_node.range((node, ChannelKind::MIN)..=(node, ChannelKind::MAX));
-        lanes.flat_map(|(_, ids)| ids).copied().filter(|id| fits(&self.links[id])).collect()
+        let kinds = self.by_node.range((node, ChannelKind::MIN)..=(node, ChannelKind::MAX));
+        kinds.flat_map(|(_, ids)| ids).copied().filter(|id| fits(&self.links[id])).collect()
     }
 
-    /// Takes note that a node has answered twice. Whether another second answer is on its way nobody can tell, on none of the links.
+    /// Records that a node has answered a request twice. Any other link may have a second answer on its way too, so this
+    /// lengthens the rest of all links.
     pub fn note_repeated_answer(&mut self, now: Time) {
         self.repeats_until = Some(now + REPEATS_MEMORY);
     }
 
-    /// Takes note of how late this process has run lately.
+    /// Records how late this process has run recently, in microseconds.
     pub fn note_lateness(&mut self, late: Time) {
-        self.rest = LEAST_REST.saturating_add(late.max(0).saturating_mul(REST_FOR_LATENESS)).min(MOST_REST);
+        self.rest = MIN_REST.saturating_add(late.max(0).saturating_mul(REST_PER_LATENESS)).min(MAX_REST);
     }
 
-    /// Takes new terms.
+    /// Sets new link settings.
     pub fn set_link_settings(&mut self, terms: LinkSettings) {
         self.limits.terms = terms;
     }
 
-    /// Sets how many links there may be. Gives the idle ones that are too many, those unused for longest first.
+    /// Sets the limit on the number of links. Returns the idle links that exceed the limit, longest idle first; the caller
+    /// must close them.
     pub fn set_link_limit(&mut self, links: usize) -> Vec<LinkId> {
         self.limits.links = links;
-        let over = self.links.len().saturating_sub(links);
-        self.idle.iter().take(over).map(|(_, id)| *id).collect()
+        let excess = self.links.len().saturating_sub(links);
+        self.idle.iter().take(excess).map(|(_, id)| *id).collect()
     }
 
-    /// How many links there are.
+    /// Returns the number of links.
     pub fn len(&self) -> usize {
         self.links.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether the pool has no links.
     pub fn is_empty(&self) -> bool {
         self.links.is_empty()
     }
