--- a/src/state/phase.rs
+++ b/src/state/phase.rs
@@ -1,84 +1,87 @@
-//! The phase that the broker is in: the one source for what `PING` and `HEALTH` say, for whether connections are
-//! taken, and for when one between requests is closed. Time is handed in.
+//! The phase of the broker's life. It alone determines the answers to `PING` and `HEALTH`, whether connections are
+//! accepted, and when connections between requests are closed. The caller passes the current time.
 
 use crate::interface::Time;
 
-/// How long a connection without a request may be kept while clients are sent away: one in use is closed right
-/// after its next answer, which crosses nothing; closing any other may cross a request on its way.
-const QUIET: Time = 600_000;
-/// How long one that has only just been opened is waited for when all others are closed: its request is on its way.
-const FRESH: Time = 100_000;
-/// After this nothing is read any more from clients that are sent away, so that four seconds after the call no
-/// request of the last two is held.
-const LATEST: Time = 1_600_000;
-/// A connection that is not used for so long is closed where another process has taken over.
-const QUIET_HANDING: Time = 1_200_000;
-/// How much before its end a process that hands over closes the last connections: what it has read by then is to
-/// be answered, too.
-const LAST_READ: Time = 1_500_000;
-/// At least so long after the signal it reads on.
-const FIRST_READ: Time = 600_000;
-/// How much before its end its last answers are given.
-const LAST_ANSWER: Time = 400_000;
-
-/// The platform ends a process so long after the signal: the longest deadline, within these bounds, and a little.
-const MOST_GRACE: Time = 3_000_000;
-/// See `MOST_GRACE`.
-const LEAST_GRACE: Time = 500_000;
-/// See `MOST_GRACE`.
-const AFTER_GRACE: Time = 700_000;
-
-/// What the broker is about; the times say since when.
+/// How long a connection without a request stays open while the broker drains its clients, in microseconds. A connection
+/// in use is closed directly after its next answer, which is safe; closing any other may cross a request on its way.
+const DRAIN_IDLE: Time = 600_000;
+/// How long a newly opened connection stays open when all others are closed, in microseconds, since its first request is
+/// on its way.
+const NEW_CONNECTION_GRACE: Time = 100_000;
+/// How long after the drain call requests of drained clients are still read, in microseconds. The limit ensures that four
+/// seconds after the call no request that was read in the last two seconds is still open.
+const DRAIN_READ: Time = 1_600_000;
+/// Idle timeout of a connection after another process has taken over, in microseconds.
+const HANDOVER_IDLE: Time = 1_200_000;
+/// How long before its end a process that hands over stops reading and closes its last connections, in microseconds, so
+/// that requests read until then can still be answered.
+const READ_MARGIN: Time = 1_500_000;
+/// Minimum time after the stop signal during which the process keeps reading, in microseconds.
+const MIN_READ: Time = 600_000;
+/// How long before its end the process gives its last answers, in microseconds.
+const ANSWER_MARGIN: Time = 400_000;
+
+/// Upper bound on the longest deadline in the grace period, in microseconds. The platform ends a process after the grace
+/// period, which counts from the stop signal and is the longest deadline, clamped to [`MIN_GRACE`] and [`MAX_GRACE`],
+/// plus [`EXTRA_GRACE`].
+const MAX_GRACE: Time = 3_000_000;
+/// Lower bound on the longest deadline in the grace period, in microseconds.
+const MIN_GRACE: Time = 500_000;
+/// Time added to the longest deadline in the grace period, in microseconds.
+const EXTRA_GRACE: Time = 700_000;
+
+/// The phase of the broker. The first time in a variant is the time at which the call or stop signal came; the second is
+/// the grace period after it, at whose end the platform may end the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Phase {
-    /// It does not serve yet.
+    /// The broker does not serve yet.
     #[default]
     Starting,
-    /// It serves.
+    /// The broker serves clients.
     Serving,
-    /// Staff empty it: new connections are still served, but each is closed after an answer.
+    /// Operators drain the broker: it still serves new connections, but closes each connection after an answer.
     Leaving(Time),
-    /// It was told to stop: connections are taken and kept for a moment more, since clients learn of it late. It has so
-    /// long until it may be ended.
+    /// The stop signal has come. The broker still accepts and keeps connections for a moment, since clients learn of the
+    /// stop late.
     Stopping(Time, Time),
-    /// Another process serves in its place and takes all new connections; those that there are stay.
+    /// Another process serves in place of this one and accepts all new connections; existing connections stay open.
     Yielding,
-    /// It was told to stop and another process takes its connections. It has so long until it may be ended.
+    /// The stop signal has come and another process accepts the new connections.
     HandingOver(Time, Time),
-    /// It takes no connection any more and closes each between requests. It was told to stop then, and has so long until
-    /// it may be ended.
+    /// The broker is stopping: it accepts no connections and closes existing ones between requests.
     Closing(Time, Time),
 }
 
-/// What can move it.
+/// The events that change the phase.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Transition {
-    /// It listens and has its settings.
+    /// The broker listens and has its settings.
     Started,
-    /// Staff empty it.
+    /// Operators drain the broker.
     Leave,
-    /// Staff take it back into use.
+    /// Operators take the broker back into service.
     Join,
-    /// Another process serves in its place, or does so no longer.
+    /// Another process serves in place of this one (true), or no longer does (false).
     Yield(bool),
-    /// It is told to stop, and may be ended after this time.
+    /// The stop signal has come, with this grace period.
     Stop(Time),
-    /// Told to stop, it may be ended so long after that already, by other settings.
+    /// New settings have changed the grace period; a stopping broker keeps the shorter of both.
     Grace(Time),
-    /// Connections were taken for long enough after that.
+    /// Connections were accepted for long enough after the stop signal.
     Close,
 }
 
-/// Why a move is not made.
+/// Why a transition is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum TransitionError {
-    /// There is no way back from stopping.
+    /// A stopping broker cannot return to service.
     #[error("the broker is stopping")]
     Stopping,
 }
 
 impl Phase {
-    /// The phase after a move. A call that is repeated changes nothing, nor its time.
+    /// Returns the phase after a transition. A repeated call changes neither the phase nor its time.
     pub fn after(self, what: Transition, now: Time) -> Result<Phase, TransitionError> {
         let stopping = matches!(self, Phase::Stopping(..) | Phase::HandingOver(..) | Phase::Closing(..));
         Ok(match (what, self) {
@@ -88,10 +91,10 @@
             (Transition::Join, Phase::Leaving(_)) => Phase::Serving,
             (Transition::Yield(true), Phase::Serving) => Phase::Yielding,
             (Transition::Yield(false), Phase::Yielding) => Phase::Serving,
-            // Of one that staff have emptied nobody knows any more, either.
+            // No client knows of a drained broker any more, so it need not keep accepting connections either.
             (Transition::Stop(grace), Phase::Yielding | Phase::Leaving(_)) => Phase::HandingOver(now, grace),
             (Transition::Stop(grace), _) if !stopping => Phase::Stopping(now, grace),
-            // It may have been told to stop before it was known that another process follows.
+            // The stop signal may come before the broker learns that another process has taken over.
             (Transition::Yield(true), Phase::Stopping(at, grace)) => Phase::HandingOver(at, grace),
             (Transition::Grace(other), Phase::Stopping(at, grace)) => Phase::Stopping(at, grace.min(other)),
             (Transition::Grace(other), Phase::HandingOver(at, grace)) => {
@@ -105,57 +108,57 @@
         })
     }
 
-    /// Whether clients are welcome: what `PING` says.
+    /// Returns whether `PING` is answered with success, which invites clients to stay.
     pub fn answers_ping(self) -> bool {
         matches!(self, Phase::Serving | Phase::Yielding | Phase::Stopping(..))
     }
 
-    /// Whether a client that is sent here now is served, as far as it depends on this: what `HEALTH` says.
+    /// Returns whether `HEALTH` reports success: a client that connects now would be served, as far as the phase decides.
     pub fn is_healthy(self) -> bool {
         matches!(self, Phase::Serving | Phase::Yielding)
     }
 
-    /// Whether connections are taken.
+    /// Returns whether connections are accepted on a socket on which another process may accept too.
     pub fn accepts_connections(self) -> bool {
         !matches!(self, Phase::Yielding | Phase::HandingOver(..) | Phase::Closing(..))
     }
 
-    /// Whether connections are taken on a socket on which no other process accepts: until the last moment, since nobody would
-    /// answer them.
+    /// Returns whether connections are accepted on a socket on which no other process accepts. This goes on until the
+    /// broker closes, since no one else would answer these clients.
     pub fn accepts_as_only_listener(self) -> bool {
         !matches!(self, Phase::Closing(..))
     }
 
-    /// Whether the process is about to end.
+    /// Returns whether the process is about to end.
     pub fn is_terminating(self) -> bool {
         matches!(self, Phase::HandingOver(..) | Phase::Closing(..))
     }
 
-    /// When a connection between requests is to be closed that was last of use at `since`: never, if nothing. It
-    /// has had an `answer` then, or else has only been opened.
+    /// Returns when a connection between requests must be closed, or `None` if it may stay open. `since` is the time of its
+    /// last use: an answer if `answer` is true, or else the opening of the connection.
     pub fn closes_at(self, since: Time, answer: bool) -> Option<Time> {
         let (at, quiet, latest) = match self {
-            Phase::Leaving(at) => (at, QUIET, LATEST),
-            Phase::HandingOver(at, grace) => (at, QUIET_HANDING, last_read(grace)),
+            Phase::Leaving(at) => (at, DRAIN_IDLE, DRAIN_READ),
+            Phase::HandingOver(at, grace) => (at, HANDOVER_IDLE, last_read(grace)),
             Phase::Closing(..) if answer => return Some(since),
-            Phase::Closing(..) => return Some(since + FRESH),
+            Phase::Closing(..) => return Some(since + NEW_CONNECTION_GRACE),
             _ => return None,
         };
         let ends = (at.max(since) + quiet).min(at + latest);
         Some(match answer && since > at {
             true => since,
-            // One that comes all the same has a moment for its request, which is read and answered.
-            false if self.is_emptied(since) => since + FRESH,
+            // A connection opened after the drain has a moment for its request, which is read and answered.
+            false if self.is_drained(since) => since + NEW_CONNECTION_GRACE,
             false => ends,
         })
     }
 
-    /// Whether staff have emptied the broker for so long by `now` that what still comes is refused at once.
-    fn is_emptied(self, now: Time) -> bool {
-        matches!(self, Phase::Leaving(at) if now >= at + LATEST)
+    /// Returns whether the drain has lasted so long by `now` that new requests are refused immediately.
+    fn is_drained(self, now: Time) -> bool {
+        matches!(self, Phase::Leaving(at) if now >= at + DRAIN_READ)
     }
 
-    /// Whether what has come on a connection between requests is still read before that is closed.
+    /// Returns whether bytes that have arrived on a connection between requests are read before it is closed.
     pub fn reads_idle_connections(self, now: Time) -> bool {
         match self {
             Phase::Leaving(_) => true,
@@ -163,42 +166,44 @@
         }
     }
 
-    /// From when on nothing more is read of a client that is owed something, if it ever stops so.
+    /// Returns the time from which on nothing more is read from clients with open requests, or `None` if reading goes on.
     pub fn stops_reading_at(self) -> Option<Time> {
         match self {
-            Phase::Leaving(at) => Some(at + LATEST),
+            Phase::Leaving(at) => Some(at + DRAIN_READ),
             Phase::HandingOver(at, grace) | Phase::Closing(at, grace) => Some(at + last_read(grace)),
             _ => None,
         }
     }
 
-    /// The last moment at which an answer is given before the process may be ended, if it was told to stop.
+    /// Returns the last time at which an answer may be given before the process may be ended, or `None` if no stop signal
+    /// has come.
     pub fn last_answer_at(self) -> Option<Time> {
         match self {
             Phase::HandingOver(at, grace) | Phase::Stopping(at, grace) | Phase::Closing(at, grace) => {
-                Some(at + grace - LAST_ANSWER)
+                Some(at + grace - ANSWER_MARGIN)
             }
             _ => None,
         }
     }
 
-    /// When a request that is taken at `now` must have its answer, whatever its client would wait for.
+    /// Returns the time by which a request accepted at `now` must have its answer regardless of its own deadline, or `None`
+    /// if the phase sets no limit.
     pub fn answer_deadline(self, now: Time) -> Option<Time> {
         match self {
-            Phase::Leaving(_) if self.is_emptied(now) => Some(now),
+            Phase::Leaving(_) if self.is_drained(now) => Some(now),
             _ => self.last_answer_at(),
         }
     }
 }
 
-/// How long after the signal a process may be ended whose longest deadline is this.
+/// Returns the grace period of a process with this longest deadline: how long after the stop signal it may be ended.
 pub fn grace(longest_deadline: Time) -> Time {
-    longest_deadline.clamp(LEAST_GRACE, MOST_GRACE) + AFTER_GRACE
+    longest_deadline.clamp(MIN_GRACE, MAX_GRACE) + EXTRA_GRACE
 }
 
-/// How long a process reads on that may be ended so long after the signal.
+/// Returns how long after the stop signal a process with this grace period keeps reading.
 pub fn last_read(grace: Time) -> Time {
-    (grace - LAST_READ).max(FIRST_READ)
+    (grace - READ_MARGIN).max(MIN_READ)
 }
 
 #[cfg(test)]
