--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -1,5 +1,5 @@
-//! What all hosts together send to a node that has just started: the real scheduler, many of it, each with what it alone
-//! knows. The rule: past a window's budget of N calls only 2 sqrt N + 2 are put down to chance.
+//! Tests the total load that all hosts send to a cold node, with one real scheduler per host that knows only its own
+//! traffic. In a window with a budget of N calls, an excess of at most 2 sqrt(N) + 2 is accepted as chance.
 
 mod common;
 
@@ -9,16 +9,18 @@
 
 const MS: Time = 1_000;
 const S: Time = 1_000_000;
-/// How long nodes are cold, and over which time they fall.
+/// Warm-up time of a node.
 const COLD: Time = 15 * S;
+/// Window over which the load of a cold node is limited.
 const WINDOW: Time = 1_500 * MS;
-/// Nodes of a fleet, and which of them start anew in turn.
+/// Number of nodes.
 const NODES: u32 = 8;
+/// Number of nodes that restart, one after another.
 const COLD_NODES: u32 = 4;
-/// What is played of a fleet.
+/// Simulated time.
 const LENGTH: Time = 20 * S;
 
-/// A small generator of its own, so that what is drawn here is drawn alike everywhere.
+/// A random number generator that gives the same sequence on every machine.
 struct Dice(u64);
 
 impl Dice {
@@ -31,20 +33,20 @@
     }
 }
 
-/// How a fleet is played.
+/// Parameters of a simulated fleet.
 #[derive(Debug, Clone, Copy)]
 struct Play {
     hosts: u32,
-    /// Requests a second that a host of middling traffic sees for one node.
+    /// Requests per second for one node at a host of average traffic.
     rate: f64,
-    /// How many times as much one of the cold nodes is asked for, from the middle of the play on.
+    /// Factor on the requests for one of the cold nodes, after the first third of the simulated time.
     hot: f64,
-    /// Whether three in ten hosts are killed and start again while nodes are cold.
+    /// Whether three in ten hosts are killed and restarted while nodes are cold.
     restarts: bool,
 }
 
-/// What came of it: the worst window as calls and as work, both over what is put down to the budget and to chance (1 is
-/// the bound), and the part of the budget that was used.
+/// Result of a simulation: calls and work of the worst window, both relative to the budget plus the accepted excess (1 is
+/// the bound), and the fraction of the budget that was used.
 #[derive(Debug, Default, Clone, Copy)]
 struct Seen {
     calls: f64,
@@ -80,16 +82,16 @@
     scheduler
 }
 
-/// Plays a fleet; every attempt is answered after 30 ms.
+/// Simulates a fleet in which every attempt is answered after 30 ms.
 fn play(play: Play, seed: u64) -> Seen {
     let mut dice = Dice(seed ^ 0x9e37_79b9_7f4a_7c15);
     let mut started = BTreeMap::new();
     let mut hosts: Vec<Scheduler> =
         (0..play.hosts).map(|h| scheduler(play.hosts, h, seed + u64::from(h), 0, &started)).collect();
-    // Some see several times the mean, some little.
+    // Traffic differs between hosts, from 0.3 to 3 times the rate.
     let rates: Vec<f64> =
         (0..play.hosts).map(|_| play.rate * [0.3, 0.6, 1.0, 3.0][(dice.unit() * 4.0) as usize]).collect();
-    // Moments in order: an arrival at a host, an answer, the start of a node, the end of a host.
+    // Simulated events in time order: a request at a host, an answer, the start of a node, the restart of a host.
     enum Moment {
         Arrival(usize),
         Answer(usize, RequestId, NodeId),
@@ -170,7 +172,7 @@
     let mut seen = Seen::default();
     let (mut all, mut borne) = (0.0, 0.0);
     for n in 0..COLD_NODES {
-        // The operators' budget: what the settings allow then.
+        // The budget in calls that the settings allow at a time.
         let budget = |at: Time| {
             let proven = ((at - started[&n] - WINDOW).max(0) as f64 / COLD as f64).min(1.0);
             13.0 / 2.0 * (0.15 + 0.85 * proven) / 0.15
@@ -192,7 +194,7 @@
     seen
 }
 
-/// The worst of many plays, and the mean of what was used.
+/// Returns the worst result over many seeds, with the mean of the budget that was used.
 fn worst(what: Play, seeds: u64) -> Seen {
     let mut worst = Seen::default();
     for seed in 0..seeds {
@@ -204,30 +206,30 @@
     worst
 }
 
-/// A fleet beside those of the test, as `RAMP_FLEET=1700:0.25` names it: its hosts, and the requests a second that one of
-/// middling traffic sees for one node. What names none fails the test.
-fn one_more() -> Option<(u32, f64)> {
+/// Returns an additional fleet from `RAMP_FLEET`, such as `RAMP_FLEET=1700:0.25`: the number of hosts, and the requests per
+/// second for one node at a host of average traffic. A malformed value fails the test.
+fn additional_fleet() -> Option<(u32, f64)> {
     let text = std::env::var("RAMP_FLEET").ok()?;
     let (hosts, rate) = text.split_once(':').expect("HOSTS:RATE");
     Some((hosts.parse().expect("a count of hosts"), rate.parse().expect("a rate")))
 }
 
-/// Guards against a cold node that falls under the sum of what every host sends by its own draw: uneven traffic, a node that
-/// is asked for far more than others, and hosts that start anew and do not know what their former lives sent.
+/// Guards against a cold node that is overloaded by the total of what the hosts send independently, with uneven traffic, with
+/// a node that gets far more requests than others, and with restarted hosts that do not know what they sent before.
 #[test]
 fn a_cold_node_gets_its_budget_and_a_little_for_chance_however_many_hosts_there_are() {
     let seeds = std::env::var("RAMP_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(12);
     let fleets = [(3, 4.0), (8, 2.0), (20, 1.5), (30, 1.0), (300, 0.1)];
-    for (hosts, rate) in fleets.into_iter().chain(one_more()) {
+    for (hosts, rate) in fleets.into_iter().chain(additional_fleet()) {
         for (hot, restarts) in [(1.0, false), (1.0, true), (5.0, false), (5.0, true)] {
             let seen = worst(Play { hosts, rate, hot, restarts }, seeds);
             println!("{hosts:>4} hosts, hot {hot}, restarts {restarts}: calls {:.2}, work {:.2} of the bound, used {:.2}", seen.calls, seen.work, seen.used);
-            // Work is what makes a node fall. A host that spends units of its own part may make more calls, small ones.
+            // Only work overloads a node. A host that has a part of its own in units may send more calls if they are small.
             assert!(
                 seen.work <= 1.0 && (hosts < 300 || seen.calls <= 1.0),
                 "{hosts} hosts, hot {hot}, restarts {restarts}: {seen:?}"
             );
-            assert!(seen.used > 0.1, "it is used: {hosts} hosts: {seen:?}");
+            assert!(seen.used > 0.1, "the budget is hardly used: {hosts} hosts: {seen:?}");
         }
     }
 }
--- a/tests/rules_hold.rs
+++ b/tests/rules_hold.rs
@@ -1,4 +1,5 @@
-//! Arbitrary legal events, audited against the rules. There is no model of a node: outcomes are drawn.
+//! Property test: feeds the scheduler arbitrary legal events and checks every action against the rules. Nodes are not
+//! modelled; outcomes are random.
 
 mod common;
 use claywinch::interface::*;
@@ -39,12 +40,12 @@
     units: f64,
     shard: Option<u32>,
     order: u64,
-    /// Node, send and ending of each attempt.
+    /// Node, send time and ending of each attempt.
     tries: Vec<(NodeId, Time, Option<Ending>)>,
     over: bool,
 }
 
-/// What the scheduler may know and has done, kept apart from the scheduler.
+/// The test's own record of the events that the scheduler got and the actions that it returned.
 struct Audit {
     drive: Drive,
     set: Settings,
@@ -152,10 +153,10 @@
         if class.ordered {
             for o in self.open.values().filter(|o| self.set.classes[o.class].ordered && o.key == r.key) {
                 let settled = o.over && o.tries.iter().all(|t| t.2.is_some());
-                assert!(o.order >= r.order || settled, "out of turn");
+                assert!(o.order >= r.order || settled, "ordered key: sent before an earlier request");
             }
             let rest = self.key_cooldown.get(&r.key).copied().unwrap_or(0);
-            assert!(!r.tries.is_empty() || now >= rest, "the key must rest");
+            assert!(!r.tries.is_empty() || now >= rest, "sent before the cooldown of the key is over");
         }
         if let (true, Some(budget)) = (!r.tries.is_empty(), self.set.budget) {
             self.extra.push(now);
@@ -169,16 +170,16 @@
             let grown =
                 1.0 + (1.0 / self.set.cold_fraction - 1.0) * (now - at) as f64 / self.set.warmup_time as f64;
             let part = self.set.cold_units / f64::from(self.set.hosts) * grown;
-            assert!(window.map(|c| c.2).sum::<f64>() <= part, "a cold node pushed");
+            assert!(window.map(|c| c.2).sum::<f64>() <= part, "too much load on a cold node");
         }
         if let (true, Some(limit)) = (r.tries.is_empty(), self.set.plans[r.plan].limit) {
-            // This host's even part of the store, kept through restarts; its part of the slack may be used.
+            // This host's even part of the limit bucket, kept across restarts; its part of the slack may be used.
             let hosts = 2.0;
             self.store += (now - self.store_at) as f64 / 1e6 * limit.rate;
             self.store = self.store.min(limit.burst);
             self.store_at = now;
             self.store -= r.units * hosts;
-            assert!(self.store >= -limit.slack - 1e-6, "limit passed: {}", self.store);
+            assert!(self.store >= -limit.slack - 1e-6, "limit exceeded: {}", self.store);
         }
         self.open.get_mut(&id).unwrap().tries.push((node, now, None));
     }
@@ -266,7 +267,7 @@
                 self.list(ListKind::Full);
             }
             Step::Wait(time) => {
-                // The clock is fine-grained, as a real one: nothing owed may pass its due time.
+                // The clock advances in small steps, so that no request may be open past its deadline.
                 let until = self.drive.now + time;
                 while self.drive.now < until {
                     self.drive.now = (self.drive.now + 4_000).min(until);
@@ -277,7 +278,7 @@
                 }
             }
             Step::Restart => {
-                // Killed and back: it remembers nothing, and what it held is its clients' to retry.
+                // The host is killed and restarts without its state; clients retry its open requests.
                 let now = self.drive.now;
                 self.drive = Drive::new(self.set.clone());
                 self.drive.now = now + 2_000_000;
