--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,5 +1,5 @@
-//! The program before a discovery that fails to tell it that nodes leave: nothing goes to them once that counts as told,
-//! and service goes on.
+//! A broker process whose discovery fails to deliver that nodes drain: the broker sends nothing to these nodes once the
+//! change counts as delivered, and continues to serve from the others.
 
 mod common;
 
@@ -10,13 +10,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The operators' clock: what a silent watch misses counts so long after it fell silent.
+/// A change missed by a silent watch counts as delivered this long after the watch fell silent (protocol).
 const SILENCE: Duration = Duration::from_secs(6);
-/// Where lists are pushed, what the agent has counts at once.
+/// The grace for draining nodes. Where lists are pushed, it starts as soon as the agent has the change.
 const GRACE: Duration = Duration::from_secs(1);
-/// The operators' slack on each limit.
+/// Tolerance of the operators on each limit.
 const SLACK: Duration = Duration::from_millis(50);
-/// How long a client waits.
+/// How long a client waits for an answer.
 const DEADLINE_MS: u64 = 400;
 
 fn settings(mode: &str) -> String {
@@ -31,7 +31,7 @@
         .replace("MODE", mode)
 }
 
-/// A broker before two nodes of a shard each, and the list as it stands.
+/// A broker, its discovery and two nodes with one shard each.
 struct World {
     broker: Broker,
     discovery: Discovery,
@@ -48,6 +48,7 @@
         world
     }
 
+    /// Sets the phases of both nodes in the list of discovery.
     fn list(&self, phases: [&str; 2]) {
         let member = |shard: usize| {
             let (address, phase) = (&self.nodes[shard].1, phases[shard]);
@@ -59,7 +60,7 @@
         self.discovery.set(&format!("{},{}", member(0), member(1)));
     }
 
-    /// Asks for something of a shard; whether it was served.
+    /// Sends a request for a shard and returns whether it was served.
     fn ask(&self, shard: usize) -> bool {
         self.ask_on(&mut connect(&self.broker.listen), shard)
     }
@@ -74,15 +75,16 @@
         let command = format!(
             "*4\r\n$7\r\nOBJ.GET\r\n$16\r\n7f3a9c21e0b4d655\r\n$16\r\n{id}\r\n${length}\r\n{fields}\r\n"
         );
-        stream.write_all(command.as_bytes()).expect("asks");
+        stream.write_all(command.as_bytes()).expect("the request is sent");
         let first = line(stream).expect("an answer");
-        // The value behind its length.
+        // The value follows its length.
         first.starts_with('$') && exact(stream, 7).is_ok()
     }
 
-    /// Asks both shards for so long. How often each was served, and when the first was last.
-    fn press(&self, long: Duration) -> ([usize; 2], Option<Instant>) {
-        let end = Instant::now() + long;
+    /// Sends requests for both shards for a while. Returns how often each was served and when the first node last
+    /// received a request.
+    fn load(&self, duration: Duration) -> ([usize; 2], Option<Instant>) {
+        let end = Instant::now() + duration;
         let mut served = [0; 2];
         thread::scope(|scope| {
             for (shard, served) in served.iter_mut().enumerate() {
@@ -98,82 +100,89 @@
         (served, self.nodes[0].0.lock().expect("the script").last)
     }
 
-    fn sent_to_the_first_by(&self, told: Instant, last: Option<Instant>) {
-        let last = last.expect("it was sent to");
-        assert!(last < told + GRACE + SLACK, "{:?} after it counted as told", last - told);
+    /// Asserts that the first node received nothing after the grace that follows `delivered`.
+    fn assert_first_not_sent_after(&self, delivered: Instant, last: Option<Instant>) {
+        let last = last.expect("the first node received requests");
+        assert!(
+            last < delivered + GRACE + SLACK,
+            "{:?} after the change counted as delivered",
+            last - delivered
+        );
     }
 }
 
-/// Guards against the fault that the operators met: all watches fall silent, a node begins to drain right after, and it was
-/// sent to until the silence was noticed and discovery had been asked anew. Discovery answers new calls.
+/// Guards against a fault seen in operation: all watches fall silent, a node begins to drain right after, and the broker
+/// sent to it until it noticed the silence and had called discovery again. Discovery answers new calls.
 #[test]
-fn a_node_that_drains_behind_a_silent_watch_is_not_sent_to_and_others_are() {
+fn a_node_that_drains_behind_a_silent_watch_gets_no_requests_and_others_do() {
     for after_ms in [0, 700] {
         let world = World::new(&format!("silent-{after_ms}"), "on_request");
         let silent = Instant::now();
         world.discovery.fall_silent(false);
         thread::sleep(Duration::from_millis(after_ms));
         world.list(["draining", "ready"]);
-        let (served, last) = world.press(SILENCE + Duration::from_secs(3));
-        world.sent_to_the_first_by(silent + SILENCE, last);
+        let (served, last) = world.load(SILENCE + Duration::from_secs(3));
+        world.assert_first_not_sent_after(silent + SILENCE, last);
         assert!(served[1] > 300, "{served:?}");
         assert!(!world.broker.log().contains("held=true"));
     }
 }
 
-/// Guards against a broker that goes on by its old list because it cannot get a new one, and one that never comes back.
+/// Guards against a broker that keeps using its old list because it cannot get a new one, and against one that does not
+/// resume when discovery returns.
 #[test]
-fn a_broker_that_cannot_know_sends_nothing_until_it_does() {
+fn a_broker_without_a_valid_list_sends_nothing_until_it_gets_one() {
     let world = World::new("unknown", "on_request");
     let silent = Instant::now();
     world.discovery.fall_silent(true);
     world.list(["draining", "ready"]);
-    let (served, last) = world.press(SILENCE + Duration::from_secs(3));
-    world.sent_to_the_first_by(silent + SILENCE, last);
-    assert!(served[0] > 0 && served[1] > 0, "until then it was served: {served:?}");
+    let (served, last) = world.load(SILENCE + Duration::from_secs(3));
+    world.assert_first_not_sent_after(silent + SILENCE, last);
+    assert!(served[0] > 0 && served[1] > 0, "both were served while the list was valid: {served:?}");
     assert!(world.broker.log().contains("held=true"));
     assert!(!world.ask(1) && !world.ask(0));
     world.discovery.refuse(false);
-    until("the other is served again", || world.ask(1));
-    assert!(!world.ask(0), "and the one that drains is not");
-    // It is ready again.
+    until("the ready node is served again", || world.ask(1));
+    assert!(!world.ask(0), "the draining node is not");
+    // The draining node is ready again.
     world.list(["ready", "ready"]);
     until("both are served", || world.ask(0) && world.ask(1));
 }
 
-/// Guards against a broker that keeps the rule by doing nothing: discovery resets its watches and turns calls away for
-/// longer than a silence counts.
+/// Guards against a broker that obeys the rule by not sending at all: discovery resets its watches and rejects calls for
+/// longer than the silence limit.
 #[test]
-fn an_outage_that_says_so_stops_nobody_and_its_end_is_noticed() {
+fn rejected_calls_do_not_stop_sending_and_the_end_of_the_outage_is_noticed() {
     let world = World::new("outage", "on_request");
     world.discovery.refuse(true);
     world.discovery.reset();
     let before = world.discovery.calls();
-    let (served, _) = world.press(SILENCE + Duration::from_secs(2));
+    let (served, _) = world.load(SILENCE + Duration::from_secs(2));
     assert!(served.iter().all(|n| *n > 300), "{served:?}");
     assert!(!world.broker.log().contains("held=true"));
     let calls = world.discovery.calls() - before;
-    assert!((2..12).contains(&calls), "no storm: {calls}");
+    assert!((2..12).contains(&calls), "calls during the outage: {calls}");
     world.list(["draining", "ready"]);
     let back = Instant::now();
     world.discovery.refuse(false);
-    // After calls that failed it counts six seconds after discovery could be reached, whatever the settings allow.
-    let (served, last) = world.press(Duration::from_secs(13));
-    world.sent_to_the_first_by(back + SILENCE, last);
+    // After failed calls the change counts as delivered six seconds after discovery is reachable again, even if the
+    // settings allow more.
+    let (served, last) = world.load(Duration::from_secs(13));
+    world.assert_first_not_sent_after(back + SILENCE, last);
     assert!(served[1] > 300, "{served:?}");
 }
 
-/// Guards against a broker that never watches where lists are pushed, and against one that trusts its old list from its first
-/// moment on though its agent knows better.
+/// Guards against a broker that keeps no watch where lists are pushed, and against one that trusts its old list after its
+/// start although its agent has a newer one.
 #[test]
-fn where_lists_are_pushed_what_the_agent_has_counts_from_the_first_moment() {
+fn where_lists_are_pushed_a_change_counts_as_delivered_once_the_agent_has_it() {
     let world = World::new("pushed", "pushed");
     world.list(["draining", "ready"]);
-    let told = Instant::now();
-    let (served, last) = world.press(Duration::from_secs(2));
-    world.sent_to_the_first_by(told, last);
+    let delivered = Instant::now();
+    let (served, last) = world.load(Duration::from_secs(2));
+    world.assert_first_not_sent_after(delivered, last);
     assert!(served[1] > 50, "{served:?}");
-    // The agent turns the call away: what it has is told, whether or not a watch is open.
+    // The agent rejects the call. A change that it has counts as delivered whether or not a watch is open.
     world.discovery.refuse(true);
     world.discovery.reset();
     world.list(["draining", "draining"]);
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Instances that agree on the NBD configuration, as processes on real sockets.
+//! Broker processes that replicate the NBD configuration over real sockets.
 
 mod common;
 
@@ -10,7 +10,7 @@
     "registry_mode":"on_request","rules":{"start_capacity":0.15,"cold_s":10.0,"tip_after_s":2.0},
     "services":[{"name":"c","promise_s":0.5,"credit":2.0,"late_worth":0.2,"effect":"free","group":"all"}]}"#;
 
-/// The file of one of three peers, whose shared part has this many nodes.
+/// Returns the configuration file of one of three peers, with this many nodes in the shared part.
 fn file(own: usize, peers: &[String], kept: &std::path::Path, nodes: usize) -> String {
     let mut text = format!("own_peer = {own}\nkept = {:?}\n", kept.join(format!("{own}.log")));
     for (i, address) in peers.iter().enumerate() {
@@ -28,9 +28,9 @@
     broker.log().contains(&format!("configuration in force exports=0 nodes={nodes}"))
 }
 
-/// Guards against instances that serve by different configurations, and against one that forgets.
+/// Guards against peers that serve by different configurations, and against a restarted peer that loses its log.
 #[test]
-fn what_one_instance_reads_all_of_them_put_into_force() {
+fn a_configuration_read_by_one_peer_is_in_force_at_all_of_them() {
     let kept = std::env::temp_dir().join(format!("claywinch-peers-{}", std::process::id()));
     std::fs::create_dir_all(&kept).unwrap();
     let peers: Vec<String> = (0..3).map(|_| free_address()).collect();
@@ -44,10 +44,10 @@
     until("the second configuration", || brokers.iter().all(|b| in_force(b, 2)));
     drop(brokers.remove(0));
     brokers[0].reload(&file(2, &peers, &kept, 3));
-    until("two of three agree", || brokers.iter().all(|b| in_force(b, 3)));
-    // It comes back with its old file, and is told what has been agreed on without it.
+    until("the third configuration, with two of three peers", || brokers.iter().all(|b| in_force(b, 3)));
+    // The stopped peer restarts with its old configuration file and receives what was committed without it.
     brokers.push(start(1, 1));
-    until("the one that was away catches up", || in_force(&brokers[2], 3));
+    until("the restarted peer catches up", || in_force(&brokers[2], 3));
     assert!(!brokers[0].log().contains("no longer takes part"));
     std::fs::remove_dir_all(kept).unwrap();
 }
