--- a/src/state/scrub/mod.rs
+++ b/src/state/scrub/mod.rs
@@ -1,178 +1,182 @@
-//! The scrubber: finds what has gone bad where nobody reads, and yields to those who do. It decides which blocks
-//! are read next and when, from what can be seen of live work and of its own reads. No I/O, no clock.
+//! The scrubber: reads all blocks of the exports in the background to find corrupted blocks that no client reads,
+//! and yields to client requests. It decides which blocks to read next and when, from the open client requests and
+//! the durations of its own reads. It does no I/O and reads no clock: the caller passes the current time.
 
 mod pace;
 mod walk;
 
-pub use pace::{Pace, Sight, Why};
-pub use walk::{Step, Walk};
+pub use pace::{HoldReason, NodeStatus, Pace};
+pub use walk::{BlockRange, Walk};
 
 use crate::interface::{ShardId, Time};
 use std::collections::BTreeMap;
 
-/// Number of an export.
+/// Identifies an export by its number.
 pub type VolumeId = u32;
 
-/// What the scrubber is told of an export.
+/// What the scrubber needs to know about an export.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Facts {
-    /// Its blocks.
+pub struct ExportInfo {
+    /// Size of the export in blocks.
     pub blocks: u64,
-    /// The shard that holds it.
+    /// The shard whose node stores the export.
     pub shard: ShardId,
-    /// The time in which all of it should be read once.
-    pub within: Time,
+    /// The time within which every block of the export should be read once.
+    pub period: Time,
 }
 
-/// What a read of the scrubber brought.
+/// Result of a read by the scrubber.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Found {
-    /// All blocks are as they should be.
-    Sound,
-    /// This block is not.
+pub enum ReadResult {
+    /// All blocks read are valid.
+    Valid,
+    /// The block with this number is corrupted.
     Bad(u64),
-    /// Nothing: it was refused, or failed.
-    Nothing,
+    /// The read was refused or failed, so the blocks were not checked.
+    Failed,
 }
 
-/// What has happened since the last count.
+/// Event counts since the last call of [`Scrub::take_counts`].
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Counts {
-    /// Blocks read.
+    /// Blocks read and checked.
     pub blocks: u64,
-    /// Blocks found bad.
+    /// Blocks found corrupted.
     pub bad: u64,
-    /// Reads that brought nothing.
+    /// Reads that were refused or failed.
     pub nothing: u64,
-    /// Times at which it waited for live work.
+    /// Times that a read was postponed because client requests were open at the node.
     pub yielded: u64,
-    /// Times at which it waited since the node was cold, drained or stood still.
+    /// Times that a read was postponed because the node was cold, drained or stalled.
     pub held: u64,
-    /// Exports read to their end.
+    /// Completed rounds, counted over all exports: a round ends with the last block of its export.
     pub rounds: u64,
 }
 
 #[derive(Debug)]
 struct Export {
-    facts: Facts,
+    info: ExportInfo,
     walk: Walk,
 }
 
-/// A read that is out.
+/// A read of the scrubber that has been sent and has not ended.
 #[derive(Debug, Clone, Copy)]
-struct Out {
+struct PendingRead {
     volume: VolumeId,
-    step: Step,
-    since: Time,
+    range: BlockRange,
+    sent: Time,
 }
 
-/// The scrubber of all exports of one front.
+/// The scrubber of all exports of one NBD front.
 #[derive(Debug, Default)]
 pub struct Scrub {
     exports: BTreeMap<VolumeId, Export>,
-    /// One for each node that holds an export: it goes with the last of them.
+    /// The pace at each node that stores an export; removed with the last export of the node.
     paces: BTreeMap<ShardId, Pace>,
-    /// At most one a node.
-    out: BTreeMap<ShardId, Out>,
-    /// Whose turn it was last at a node.
+    /// The reads that have not ended, at most one per node.
+    pending: BTreeMap<ShardId, PendingRead>,
+    /// The export read last at each node, for round-robin among the exports of the node.
     last: BTreeMap<ShardId, VolumeId>,
     counts: Counts,
 }
 
 impl Scrub {
-    /// Takes an export that is to be read, from this block on. One that is known stays where it is.
-    pub fn add(&mut self, now: Time, volume: VolumeId, facts: Facts, from: u64) {
+    /// Adds an export to scrub, starting at block `from`. An export that is already known with the same `info`
+    /// keeps its position.
+    pub fn add(&mut self, now: Time, volume: VolumeId, info: ExportInfo, from: u64) {
         match self.exports.get_mut(&volume) {
-            Some(export) if export.facts == facts => {}
+            Some(export) if export.info == info => {}
             _ => {
-                let walk = Walk::new(now, facts.blocks, facts.within, from);
-                self.exports.insert(volume, Export { facts, walk });
-                self.paces.entry(facts.shard).or_insert_with(|| Pace::new(now));
+                let walk = Walk::new(now, info.blocks, info.period, from);
+                self.exports.insert(volume, Export { info, walk });
+                self.paces.entry(info.shard).or_insert_with(|| Pace::new(now));
             }
         }
     }
 
-    /// Drops the exports that are not to be kept.
+    /// Removes the exports for which `keep` returns `false`, and the state of nodes that store no other export.
     pub fn retain(&mut self, keep: impl Fn(VolumeId) -> bool) {
         self.exports.retain(|volume, _| keep(*volume));
-        let used = |shard: &ShardId| self.exports.values().any(|e| e.facts.shard == *shard);
+        let used = |shard: &ShardId| self.exports.values().any(|e| e.info.shard == *shard);
         self.paces.retain(|shard, _| used(shard));
         self.last.retain(|shard, _| used(shard));
     }
 
-    /// When it wants to be asked again.
+    /// Returns when to call [`Scrub::poll`] next, or `None` if every node has a pending read or no export is known.
     pub fn next_deadline(&self) -> Option<Time> {
-        let idle = self.paces.iter().filter(|(shard, _)| !self.out.contains_key(shard));
+        let idle = self.paces.iter().filter(|(shard, _)| !self.pending.contains_key(shard));
         idle.map(|(_, pace)| pace.next()).min()
     }
 
-    /// What is to be read now, if anything may be; `sight` tells what can be seen of a shard's node.
-    pub fn poll(&mut self, now: Time, sight: impl Fn(ShardId) -> Sight) -> Vec<(VolumeId, Step)> {
-        let mut steps = Vec::new();
+    /// Returns the reads to send now, at most one per node; `status` gives the status of a shard's node.
+    pub fn poll(&mut self, now: Time, status: impl Fn(ShardId) -> NodeStatus) -> Vec<(VolumeId, BlockRange)> {
+        let mut reads = Vec::new();
         for (shard, pace) in &mut self.paces {
-            if self.out.contains_key(shard) || pace.next() > now {
+            if self.pending.contains_key(shard) || pace.next() > now {
                 continue;
             }
-            // The exports of a node take turns.
+            // Round-robin among the exports of the node: the next higher number, or the lowest.
             let last = self.last.get(shard).copied();
-            let mut here = self.exports.iter().filter(|(_, e)| e.facts.shard == *shard);
+            let mut here = self.exports.iter().filter(|(_, e)| e.info.shard == *shard);
             let first = here.clone().next();
             let Some((volume, export)) = here.find(|(v, _)| last.is_none_or(|l| **v > l)).or(first) else {
                 continue;
             };
-            match pace.may(now, sight(*shard)) {
+            match pace.check(now, status(*shard)) {
                 Ok(()) => {
-                    let step = export.walk.step();
+                    let range = export.walk.next_range();
                     self.last.insert(*shard, *volume);
-                    self.out.insert(*shard, Out { volume: *volume, step, since: now });
-                    steps.push((*volume, step));
+                    self.pending.insert(*shard, PendingRead { volume: *volume, range, sent: now });
+                    reads.push((*volume, range));
                 }
-                Err(Why::Busy) => self.counts.yielded += 1,
-                Err(Why::Unfit) => self.counts.held += 1,
+                Err(HoldReason::Busy) => self.counts.yielded += 1,
+                Err(HoldReason::NotReady) => self.counts.held += 1,
             }
         }
-        steps
+        reads
     }
 
-    /// Takes what a read brought. Gives the place from which an export is to be read on after a restart, where it
-    /// should be noted.
-    pub fn ended(&mut self, now: Time, volume: VolumeId, found: Found) -> Option<u64> {
-        let shard = self.out.iter().find(|(_, out)| out.volume == volume).map(|(shard, _)| *shard)?;
-        let out = self.out.remove(&shard)?;
+    /// Records the result of a read. Returns the block at which scrubbing of the export resumes after a restart, if
+    /// the caller should store that position now.
+    pub fn read_ended(&mut self, now: Time, volume: VolumeId, result: ReadResult) -> Option<u64> {
+        let shard = self.pending.iter().find(|(_, read)| read.volume == volume).map(|(shard, _)| *shard)?;
+        let pending = self.pending.remove(&shard)?;
         let pace = self.paces.get_mut(&shard)?;
         let export = self.exports.get_mut(&volume)?;
-        pace.ended(now, now - out.since, found != Found::Nothing, export.walk.pause());
-        let read = match found {
-            Found::Sound => out.step.count,
-            Found::Bad(block) => {
+        pace.read_ended(now, now - pending.sent, result != ReadResult::Failed, export.walk.interval());
+        let read = match result {
+            ReadResult::Valid => pending.range.count,
+            ReadResult::Bad(block) => {
                 self.counts.bad += 1;
-                (block + 1).saturating_sub(out.step.first).clamp(1, out.step.count)
+                // The next read starts after the corrupted block: the blocks after it are not checked yet.
+                (block + 1).saturating_sub(pending.range.first).clamp(1, pending.range.count)
             }
-            Found::Nothing => {
+            ReadResult::Failed => {
                 self.counts.nothing += 1;
                 return None;
             }
         };
         self.counts.blocks += read;
         let rounds = export.walk.rounds();
-        let note = export.walk.read(now, read);
+        let position = export.walk.advance(now, read);
         self.counts.rounds += export.walk.rounds() - rounds;
-        note
+        position
     }
 
-    /// A live request at a node took long: what comes behind it has the right of way.
-    pub fn slow(&mut self, now: Time, shard: ShardId) {
+    /// Records that a client request at a node was slow: scrubbing there pauses so that the client requests queued
+    /// behind it are served first.
+    pub fn slow_request(&mut self, now: Time, shard: ShardId) {
         if let Some(pace) = self.paces.get_mut(&shard) {
-            pace.slow(now);
+            pace.slow_request(now);
         }
     }
 
-    /// What has happened since the last call.
+    /// Returns the counts since the last call and resets them.
     pub fn take_counts(&mut self) -> Counts {
         std::mem::take(&mut self.counts)
     }
 
-    /// By how much each export is behind the time that was wished for, where it is.
+    /// Returns the exports that are behind schedule, each with its delay.
     pub fn behind(&self, now: Time) -> Vec<(VolumeId, Time)> {
         let all = self.exports.iter().map(|(volume, export)| (*volume, export.walk.behind(now)));
         all.filter(|(_, behind)| *behind > 0).collect()
@@ -184,68 +188,75 @@
     use super::*;
 
     const SECOND: Time = 1_000_000;
-    const QUIET: Sight = Sight { open: 0, fit: true };
+    const IDLE: NodeStatus = NodeStatus { open: 0, ready: true };
 
     fn scrub(shards: &[ShardId]) -> Scrub {
         let mut scrub = Scrub::default();
         for (volume, shard) in (0..).zip(shards) {
-            scrub.add(0, volume, Facts { blocks: 256, shard: *shard, within: 10 * SECOND }, 0);
+            scrub.add(0, volume, ExportInfo { blocks: 256, shard: *shard, period: 10 * SECOND }, 0);
         }
         scrub
     }
 
-    /// Plays until `end` with a node that answers after `takes`; the blocks read.
-    fn play(scrub: &mut Scrub, from: Time, end: Time, takes: Time, sight: impl Fn(Time) -> Sight) -> u64 {
+    /// Runs the scrubber from `from` until `end` with a node that answers each read after `takes`. Returns the
+    /// number of blocks read.
+    fn run(
+        scrub: &mut Scrub,
+        from: Time,
+        end: Time,
+        takes: Time,
+        status: impl Fn(Time) -> NodeStatus,
+    ) -> u64 {
         let (mut now, mut read) = (from, 0);
         while now < end {
-            let steps = scrub.poll(now, |_| sight(now));
-            for (volume, step) in steps {
+            let reads = scrub.poll(now, |_| status(now));
+            for (volume, range) in reads {
                 now += takes;
-                read += step.count;
-                scrub.ended(now, volume, Found::Sound);
+                read += range.count;
+                scrub.read_ended(now, volume, ReadResult::Valid);
             }
-            now = scrub.next_deadline().expect("it goes on").max(now + 1);
+            now = scrub.next_deadline().expect("no pending read, so a deadline is set").max(now + 1);
         }
         read
     }
 
     #[test]
-    fn an_export_is_read_within_the_time_wished_for_where_nobody_else_reads() {
+    fn reads_an_export_within_its_period_without_client_requests() {
         let mut scrub = scrub(&[0]);
-        let read = play(&mut scrub, 0, 10 * SECOND, 500, |_| QUIET);
+        let read = run(&mut scrub, 0, 10 * SECOND, 500, |_| IDLE);
         assert!((256..400).contains(&read), "{read}");
         assert_eq!(scrub.behind(10 * SECOND), []);
         assert!(scrub.take_counts().rounds >= 1);
     }
 
     #[test]
-    fn nothing_is_read_beside_live_work_or_at_a_node_that_is_not_fit() {
+    fn reads_nothing_while_client_requests_are_open_or_the_node_is_not_ready() {
         let mut scrub = scrub(&[0]);
-        let busy = Sight { open: 1, fit: true };
-        assert_eq!(play(&mut scrub, 0, 5 * SECOND, 500, |_| busy), 0);
-        let unfit = Sight { open: 0, fit: false };
-        assert_eq!(play(&mut scrub, 5 * SECOND, 9 * SECOND, 500, |_| unfit), 0);
+        let busy = NodeStatus { open: 1, ready: true };
+        assert_eq!(run(&mut scrub, 0, 5 * SECOND, 500, |_| busy), 0);
+        let not_ready = NodeStatus { open: 0, ready: false };
+        assert_eq!(run(&mut scrub, 5 * SECOND, 9 * SECOND, 500, |_| not_ready), 0);
         let counts = scrub.take_counts();
         assert!(counts.yielded > 0 && counts.held > 0, "{counts:?}");
         let behind = scrub.behind(9 * SECOND);
         assert!(behind.len() == 1 && behind[0].1 > 8 * SECOND, "{behind:?}");
-        // It catches up when it may, but begins slowly.
-        let read = play(&mut scrub, 9 * SECOND, 60 * SECOND, 500, |_| QUIET);
+        // The scrubber catches up once reads are allowed again.
+        let read = run(&mut scrub, 9 * SECOND, 60 * SECOND, 500, |_| IDLE);
         assert!(read > 256, "{read}");
     }
 
     #[test]
-    fn one_read_is_out_at_a_node_and_its_exports_take_turns() {
+    fn sends_one_read_per_node_and_rotates_among_its_exports() {
         let mut scrub = scrub(&[0, 0, 1]);
-        let first = scrub.poll(SECOND, |_| QUIET);
+        let first = scrub.poll(SECOND, |_| IDLE);
         assert_eq!(first.iter().map(|(v, _)| *v).collect::<Vec<_>>(), [0, 2]);
-        assert_eq!(scrub.poll(2 * SECOND, |_| QUIET), []);
-        scrub.ended(2 * SECOND, 0, Found::Bad(3));
-        let second = scrub.poll(9 * SECOND, |_| QUIET);
+        assert_eq!(scrub.poll(2 * SECOND, |_| IDLE), []);
+        scrub.read_ended(2 * SECOND, 0, ReadResult::Bad(3));
+        let second = scrub.poll(9 * SECOND, |_| IDLE);
         assert_eq!(second.iter().map(|(v, _)| *v).collect::<Vec<_>>(), [1]);
-        scrub.ended(9 * SECOND, 1, Found::Sound);
-        let third = scrub.poll(20 * SECOND, |_| QUIET);
-        assert_eq!(third[0].1.first, 4, "behind the bad block");
+        scrub.read_ended(9 * SECOND, 1, ReadResult::Valid);
+        let third = scrub.poll(20 * SECOND, |_| IDLE);
+        assert_eq!(third[0].1.first, 4, "the next read starts after the bad block");
         scrub.retain(|volume| volume == 2);
         assert_eq!(scrub.paces.len(), 1);
     }
--- a/src/wire/nbd/guard.rs
+++ b/src/wire/nbd/guard.rs
@@ -9,7 +9,7 @@
 };
 use crate::state::interceptor::Interceptor;
 use crate::state::planner::{Answer, AnswerSender, ClientRequest, Input, ListedNode, OpenByShard};
-use crate::state::scrub::{self, Found, Scrub, Sight};
+use crate::state::scrub::{self, NodeStatus, ReadResult, Scrub};
 use crate::wire::session::RequestIds;
 use bytes::{Bytes, BytesMut};
 use std::collections::BTreeMap;
@@ -110,27 +110,27 @@
                 continue;
             };
             if let Some(from) = self.keeper.scrubbed_to(volume) {
-                let facts = scrub::Facts { blocks: export.size / BLOCK, shard: export.shard, within };
-                self.scrub.add(now, volume, facts, from);
+                let (blocks, shard) = (export.size / BLOCK, export.shard);
+                self.scrub.add(now, volume, scrub::ExportInfo { blocks, shard, period: within }, from);
             }
         }
         let warm_from = &self.warm_from;
-        let sight = |shard| Sight {
+        let status = |shard| NodeStatus {
             open: open.get(&Some(shard)).copied().unwrap_or(0),
-            fit: warm_from.get(&shard).is_some_and(|from| *from <= now),
+            ready: warm_from.get(&shard).is_some_and(|from| *from <= now),
         };
-        for (volume, step) in self.scrub.poll(now, sight) {
+        for (volume, range) in self.scrub.poll(now, status) {
             let Some((export, (kind, _))) = exports.get(volume).and_then(|e| Some((e, e.scrub?))) else {
-                self.scrub.ended(now, volume, Found::Nothing);
+                self.scrub.read_ended(now, volume, ReadResult::Failed);
                 continue;
             };
             let (id, due) = (self.numbers.next(), now + kind.deadline);
-            let (offset, length) = (step.first * BLOCK, (step.count * BLOCK) as u32);
+            let (offset, length) = (range.first * BLOCK, (range.count * BLOCK) as u32);
             let (operation, durable, describe) = (Operation::Read, false, None);
             let request = Request { export: volume, operation, durable, offset, length, describe };
             let arrival = arrival(id, export, kind.class, due);
             self.held.insert(id, Held { arrival, request, back: None, since: now, parts: Vec::new() });
-            let op = Op::Scrub(step.first, step.count as u32);
+            let op = Op::Scrub(range.first, range.count as u32);
             self.keeper.handle(now, Event::Ask { id, volume, due, op }, &mut self.effects);
         }
     }
@@ -165,18 +165,18 @@
                             on.push(Input::ClientGone(id));
                         }
                     }
-                    Effect::Served(id) => self.answer(now, id, Found::Sound, Answer::Served),
+                    Effect::Served(id) => self.answer(now, id, ReadResult::Valid, Answer::Served),
                     Effect::Described(id, states) => {
                         let answer = Answer::Served(vec![Part::Described(states)]);
-                        self.answer(now, id, Found::Nothing, |_| answer);
+                        self.answer(now, id, ReadResult::Failed, |_| answer);
                     }
                     Effect::Refused(id, wait) => {
-                        self.answer(now, id, Found::Nothing, |_| Answer::Refused(wait));
+                        self.answer(now, id, ReadResult::Failed, |_| Answer::Refused(wait));
                     }
-                    Effect::Failed(id) => self.answer(now, id, Found::Nothing, |_| Answer::Failed),
+                    Effect::Failed(id) => self.answer(now, id, ReadResult::Failed, |_| Answer::Failed),
                     Effect::Spoiled(id, block, _) => {
                         let answer = Answer::Served(vec![Part::Spoiled(block * BLOCK)]);
-                        self.answer(now, id, Found::Bad(block), |_| answer);
+                        self.answer(now, id, ReadResult::Bad(block), |_| answer);
                     }
                 }
             }
@@ -188,21 +188,21 @@
         &mut self,
         now: Time,
         id: RequestId,
-        found: Found,
+        found: ReadResult,
         answer: impl FnOnce(Vec<Part>) -> Answer<Vec<Part>>,
     ) {
         let Some(held) = self.held.remove(&id) else { return };
         match held.back {
             Some(back) => {
                 if let Some(shard) = held.arrival.shard.filter(|_| now - held.since > SLOW) {
-                    self.scrub.slow(now, shard);
+                    self.scrub.slow_request(now, shard);
                 }
                 // A front that is gone needs no answer.
                 let _ = back.send((id, answer(held.parts)));
             }
             None => {
                 let volume = held.request.export;
-                if let Some(at) = self.scrub.ended(now, volume, found) {
+                if let Some(at) = self.scrub.read_ended(now, volume, found) {
                     self.keeper.note_scrubbed(now, volume, at, &mut self.effects);
                 }
             }
