--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
-//! A broker for shared storage nodes: it takes clients' requests, decides when and where each goes, and
-//! owes each exactly one final answer.
+//! A broker for shared storage nodes: it accepts requests of clients, decides when and to which node each is sent,
+//! and gives each request exactly one final answer.
 //!
-//! Every decision is in [`rules`], whose types are in [`interface`]; it does no I/O. Around it:
-//! [`wire`] is what is spoken, [`state`] what is kept in memory, [`run`] starts and stops it all.
+//! [`rules`] makes every scheduling decision and does no I/O; its input and output types are in [`interface`].
+//! [`wire`] implements the network protocols, [`state`] holds the in-memory state, and [`run`] starts and stops the
+//! process.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -12,7 +13,7 @@
 pub mod state;
 pub mod wire;
 
-/// Keeps the example of the README compiling.
+/// Compiles the example in the README as a documentation test.
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
 struct Readme;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The broker: reads its configuration, serves until SIGTERM, answers what it has taken, and ends.
+//! The broker's executable: reads the configuration, serves until SIGTERM, answers the accepted requests, and exits.
 #![forbid(unsafe_code)]
 
 use clap::Parser;
@@ -11,9 +11,9 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    // Before any thread runs, since it sets variables.
-    let passed = passed::take(|name| std::env::var(name).ok());
-    let alone = match Arguments::parse().command {
+    // Must run before any thread starts, because it changes environment variables.
+    let inherited = passed::take(|name| std::env::var(name).ok());
+    let voter_file = match Arguments::parse().command {
         None => None,
         Some(Command::Voter { file }) => Some(file),
         Some(Command::Integrity(command)) => {
@@ -26,15 +26,15 @@
             };
         }
     };
-    let _flushed_at_the_end = logging::start();
-    let outcome = match alone {
+    let _flush_guard = logging::start();
+    let outcome = match voter_file {
         Some(file) => File::read(&file)
             .map_err(|e| ConfigError::Cluster(e).into())
-            .and_then(|file| within(voter::run(file))),
+            .and_then(|file| block_on(voter::run(file))),
         None => {
             Config::from_env(|name| std::env::var(name).ok()).map_err(StartError::from).and_then(|config| {
-                let passed = passed?;
-                within(start::run(config, passed))
+                let inherited = inherited?;
+                block_on(start::run(config, inherited))
             })
         }
     };
@@ -47,13 +47,13 @@
     }
 }
 
-/// Runs what is started until it ends, on this thread.
-fn within(run: impl Future<Output = Result<(), StartError>>) -> Result<(), StartError> {
+/// Runs the future to completion on a single-threaded runtime on the current thread.
+fn block_on(run: impl Future<Output = Result<(), StartError>>) -> Result<(), StartError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime =
         runtime.map_err(|error| StartError::Io { what: "starting the runtime".to_string(), error })?;
     let outcome = tokio::task::LocalSet::new().block_on(&runtime, run);
-    // A folder that is slow must not hold up the end.
+    // Does not wait for blocking file operations: a slow folder must not delay the exit.
     runtime.shutdown_background();
     outcome
 }
--- a/src/run/folder.rs
+++ b/src/run/folder.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Default)]
 pub struct FileState {
     /// The version of the file, if it exists.
-    pub place: Option<FileVersion>,
+    pub version: Option<FileVersion>,
     /// Its content, if it was read. After an error the content is unknown: the file may list other processes.
     pub content: Option<Result<Handover, Error>>,
     /// The processes listed in the file that are alive, without the calling one.
@@ -61,7 +61,7 @@
 
 /// Reads the file. If it cannot be read, this is logged and the broker starts without it.
 pub fn read(path: &Path) -> Option<Handover> {
-    read_whole(path).unwrap_or_else(|error| {
+    read_file(path).unwrap_or_else(|error| {
         tracing::warn!(path = %path.display(), %error, "hand-over not read");
         None
     })
@@ -69,7 +69,7 @@
 
 /// Reads the file. Returns `None` if it does not exist or is invalid. After an error its content is unknown: it may list other
 /// processes.
-fn read_whole(path: &Path) -> std::io::Result<Option<Handover>> {
+fn read_file(path: &Path) -> std::io::Result<Option<Handover>> {
     let mut text = Vec::new();
     match File::open(path) {
         Ok(file) => file.take(MAX_BYTES as u64 + 1).read_to_end(&mut text)?,
@@ -85,27 +85,28 @@
 
 /// Checks the file for the process `own`. Reads it if its version differs from `before`, or if `always` is set.
 pub fn check(path: &Path, own: u64, before: Option<FileVersion>, always: bool) -> FileState {
-    let place = file_version(path);
-    match place != before || always {
-        true => FileState { place, ..read_state(path, own) },
-        false => FileState { place, ..FileState::default() },
+    let version = file_version(path);
+    match version != before || always {
+        true => FileState { version, ..read_state(path, own) },
+        false => FileState { version, ..FileState::default() },
     }
 }
 
+/// Reads the file and determines which of its processes are alive. Leaves `version` empty.
 fn read_state(path: &Path, own: u64) -> FileState {
-    let content = read_whole(path).map(Option::unwrap_or_default);
+    let content = read_file(path).map(Option::unwrap_or_default);
     let mut living = BTreeSet::new();
     if let Ok(handover) = &content {
         let others = handover.processes.iter().filter(|p| p.locks && p.id != own);
         living.extend(others.map(|p| p.id).filter(|id| is_alive(path, *id)));
     }
-    FileState { place: None, content: Some(content), living }
+    FileState { version: None, content: Some(content), living }
 }
 
 /// Whether a process that was started after `own` is alive. It may already serve without having recorded this in the file.
 pub fn is_followed(path: &Path, own: u64) -> bool {
-    let sight = read_state(path, own);
-    sight.handover().is_followed(own, |other| sight.living.contains(&other))
+    let state = read_state(path, own);
+    state.handover().is_followed(own, |other| state.living.contains(&other))
 }
 
 /// The lock for writing the file, with the file's content when the lock was taken.
@@ -114,7 +115,7 @@
     /// The lock; dropping it releases it.
     pub lock: File,
     /// The content of the file.
-    pub sight: FileState,
+    pub state: FileState,
     /// Number of descriptors that this process has open, if the system reports it.
     pub held: Option<usize>,
 }
@@ -129,20 +130,18 @@
         /// The error of the system call.
         error: Error,
         /// Whether the file does not exist.
-        nothing_there: bool,
+        no_file: bool,
     },
 }
 
 /// Locks the file for the process `own`, and reads it.
-pub fn take(path: &Path, own: u64) -> Result<LockedFile, LockError> {
+pub fn lock_and_read(path: &Path, own: u64) -> Result<LockedFile, LockError> {
     let lock = take_lock(&path.with_extension("lock"), MAX_LOCK_ATTEMPTS).map_err(|error| match error {
         TryLockError::WouldBlock => LockError::Held,
-        TryLockError::Error(error) => {
-            LockError::Failed { error, nothing_there: file_version(path).is_none() }
-        }
+        TryLockError::Error(error) => LockError::Failed { error, no_file: file_version(path).is_none() },
     })?;
     let held = std::fs::read_dir("/proc/self/fd").ok().map(Iterator::count);
-    Ok(LockedFile { lock, sight: read_state(path, own), held })
+    Ok(LockedFile { lock, state: read_state(path, own), held })
 }
 
 /// Takes a lock, with the given number of attempts.
@@ -150,7 +149,7 @@
     for _ in 1..tries {
         match lock(path) {
             Err(TryLockError::WouldBlock) => std::thread::sleep(LOCK_RETRY),
-            taken => return taken,
+            result => return result,
         }
     }
     lock(path)
@@ -167,6 +166,7 @@
     lock(&alive_lock_path(path, id)).ok()
 }
 
+/// Returns the path of the lock file that shows that a process is alive.
 fn alive_lock_path(path: &Path, id: u64) -> PathBuf {
     path.with_extension(format!("{id:x}.lives"))
 }
@@ -200,24 +200,26 @@
 
 /// Writes the file, then releases the lock. Returns whether writing succeeded, and whether no file exists afterwards.
 pub async fn write_and_unlock(path: PathBuf, id: u64, handover: Handover, lock: File) -> (bool, bool) {
-    let put = move || {
-        let kept = write_file(&path, id, &handover);
+    let work = move || {
+        let written = write_file(&path, id, &handover);
         drop(lock);
-        (kept, file_version(&path).is_none())
+        (written, file_version(&path).is_none())
     };
-    run_blocking(put).await.unwrap_or((false, false))
+    run_blocking(work).await.unwrap_or((false, false))
 }
 
+/// Writes the file under a temporary name and renames it into place. Returns whether that succeeded.
 fn write_file(path: &Path, id: u64, handover: &Handover) -> bool {
-    let aside = path.with_extension(format!("{id:x}"));
-    let put = || std::fs::write(&aside, handover.encode()).and_then(|()| std::fs::rename(&aside, path));
-    let kept = put();
-    if let Err(error) = &kept {
+    let temporary = path.with_extension(format!("{id:x}"));
+    let replace =
+        || std::fs::write(&temporary, handover.encode()).and_then(|()| std::fs::rename(&temporary, path));
+    let written = replace();
+    if let Err(error) = &written {
         tracing::warn!(path = %path.display(), %error, "hand-over not written");
         // A partial file would use disk space, which may be the reason for the failure.
-        let _ = std::fs::remove_file(&aside);
+        let _ = std::fs::remove_file(&temporary);
     }
-    kept.is_ok()
+    written.is_ok()
 }
 
 #[cfg(test)]
--- a/src/run/mod.rs
+++ b/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! Start and stop: what the environment says, limits, signals, exit.
+//! Start and stop of a process: configuration from the environment, resource limits, signals and exit.
 
 pub mod active_settings;
 pub mod catalogue;
