--- a/src/run/settings.rs
+++ b/src/run/settings.rs
@@ -101,7 +101,7 @@
     }
     fn count(&self) -> Result<u32, String> {
         let n = self.0.as_u64().and_then(|n| u32::try_from(n).ok());
-        n.map_or_else(|| self.bad("a complete_settings number in range"), Ok)
+        n.map_or_else(|| self.bad("a whole number in range"), Ok)
     }
     fn numbered(&self, key: &str) -> Result<f64, String> {
         self.need(key)?.number()
@@ -203,9 +203,9 @@
             );
         }
     }
-    above(&rules, "start_capacity", 0.0, "over 0, as a part of the complete_settings")?;
+    above(&rules, "start_capacity", 0.0, "over 0, as a part of the whole")?;
     if rules.numbered("start_capacity")? > 1.0 {
-        return rules.need("start_capacity")?.bad("at most 1, as a part of the complete_settings");
+        return rules.need("start_capacity")?.bad("at most 1, as a part of the whole");
     }
     above(&rules, "ask_every_s", 0.0, "over 0")?;
     above(&rules, "stop_sending_within_s", -f64::MIN_POSITIVE, "0 or more")?;
